--- a/gatebank/cli/state_sources.py
+++ b/gatebank/cli/state_sources.py
@@ -15,7 +15,7 @@
 from gatebank.proxy.configuration import Address, ConfigurationError, address, load_configuration
 from gatebank.state_transfer import snapshot
 from gatebank.state_transfer.connection import Connection
-from gatebank.state_transfer.items import InvalidItemError, StateItem, by_value
+from gatebank.state_transfer.items import InvalidItemError, StateItem, by_priority
 from gatebank.state_transfer.protocol import (
     Ask,
     Conversation,
@@ -66,12 +66,12 @@
     """
     path = Path(source)
     if path.exists():
-        return by_value(load_snapshot(path))
+        return by_priority(load_snapshot(path))
     try:
         where = address(source, "source")
     except ConfigurationError as error:
         raise StateSourceError(f"{error}, and no such file") from error
-    return by_value(asyncio.run(ask_instance(source, where, keys_folder, configuration)))
+    return by_priority(asyncio.run(ask_instance(source, where, keys_folder, configuration)))
 
 
 def load_snapshot(path: Path) -> list[StateItem]:
@@ -131,7 +131,7 @@
     tls = TlsStream(context, is_server=False) if context else None
     conversation = Conversation(hello)
     items: list[StateItem] = []
-    with contextlib.closing(Connection.to(where, tls)) as connection:
+    with contextlib.closing(Connection.for_address(where, tls)) as connection:
         await connection.connect(where, ANSWER_TIMEOUT)
         await connection.send(conversation.hello() + encode_frame(FrameKind.ASK, Ask()))
         while not conversation.ended:
--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -27,7 +27,7 @@
         self.early_data = b""
 
     @classmethod
-    def to(cls, where: Address, tls: TlsStream | None) -> Connection:
+    def for_address(cls, where: Address, tls: TlsStream | None) -> Connection:
         """Returns an unconnected one of the address's family; `connect` follows."""
         return cls(opened(where), tls)
 
--- a/gatebank/state_transfer/index_names.py
+++ b/gatebank/state_transfer/index_names.py
@@ -8,13 +8,13 @@
 from gatebank.core.llr_sums import Statistic
 from gatebank.settings import Settings
 
-RATIO_NAMES = {
+STORED_RATIO_NAMES = {
     Statistic.ERRORS: "broke",
     Statistic.LATE: "late",
     Statistic.LATE_EVERYWHERE: "everywhere",
     Statistic.CONNECTIONS_LOST: "cut",
 }  # as they are stored
-ERRORS_OF_CLASS = "errors:"  # and the class's name
+CLASS_ERRORS_PREFIX = "errors:"  # and the class's name
 
 
 class IndexNames:
@@ -38,7 +38,7 @@
     def ratio(self, statistic: int) -> str:
         """The stored name of a statistic of the sequential test."""
         of_class = statistic - Statistic.FIRST_CLASS
-        return RATIO_NAMES.get(statistic) or f"{ERRORS_OF_CLASS}{self.request_classes[of_class]}"
+        return STORED_RATIO_NAMES.get(statistic) or f"{CLASS_ERRORS_PREFIX}{self.request_classes[of_class]}"
 
     def endpoint_indices(self, indices: Iterable[int]) -> dict[str, int]:
         """Those indices by their names."""
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -31,7 +31,9 @@
 from gatebank.state_transfer.weighting import MAX_AGE, EndpointProcess, HalfLives, MergedState, merge_items
 
 MAX_INHERITED_ITEMS = 100_000  # five kinds of the most that one transfer holds
-YOUNGER = 0.001  # seconds by which an item must be younger to replace one of the same subject and origin
+MIN_AGE_DIFFERENCE = (
+    0.001  # seconds by which an item must be younger to replace one of the same subject and origin
+)
 
 
 class InheritedItem(NamedTuple):
@@ -49,27 +51,27 @@
     """What was received; each item goes when it is too old or replaced by a younger one."""
 
     def __init__(self) -> None:
-        self.rows: dict[Hashable, InheritedItem] = {}
+        self.by_identity: dict[Hashable, InheritedItem] = {}
 
     def put(self, items: Iterable[StateItem], now: float) -> int:
         """Keep items; how many told something new: none is kept as young from the same origin."""
         fresh = 0
         for item in newest(items):
             key = identity(item)
-            row = self.rows.get(key)
-            if row is None or item.age < row.age(now) - YOUNGER:
-                self.rows[key] = InheritedItem(item, now)
+            row = self.by_identity.get(key)
+            if row is None or item.age < row.age(now) - MIN_AGE_DIFFERENCE:
+                self.by_identity[key] = InheritedItem(item, now)
                 fresh += 1
-        excess = len(self.rows) - MAX_INHERITED_ITEMS
+        excess = len(self.by_identity) - MAX_INHERITED_ITEMS
         if excess > 0:
-            for oldest in list(self.rows)[:excess]:
-                del self.rows[oldest]
+            for oldest in list(self.by_identity)[:excess]:
+                del self.by_identity[oldest]
         return fresh
 
     def items(self, now: float) -> list[StateItem]:
         """All, as old as they are by now; what is too old goes."""
-        self.rows = {key: row for key, row in self.rows.items() if row.age(now) <= MAX_AGE}
-        return [row.item.older(now - row.received_at) for row in self.rows.values()]
+        self.by_identity = {key: row for key, row in self.by_identity.items() if row.age(now) <= MAX_AGE}
+        return [row.item.older(now - row.received_at) for row in self.by_identity.values()]
 
 
 class InheritedKnowledge:
--- a/gatebank/state_transfer/items.py
+++ b/gatebank/state_transfer/items.py
@@ -200,7 +200,7 @@
     | AdmittedRequest
 )
 # The kinds, the most valuable first: what limits traffic, then what decides a canary, then what informs.
-KINDS_BY_VALUE: tuple[type[StateItem], ...] = (
+KINDS_BY_PRIORITY: tuple[type[StateItem], ...] = (
     ReleaseReport,
     SlowStartRate,
     EndpointHealth,
@@ -210,7 +210,7 @@
     AdmittedRequest,
     UsualLatency,
 )
-RANKS = {kind: rank for rank, kind in enumerate(KINDS_BY_VALUE)}
+RANKS = {kind: rank for rank, kind in enumerate(KINDS_BY_PRIORITY)}
 # Ejected endpoints come right behind slow starts, and before the sums and healthy endpoints.
 EJECTED_RANK = RANKS[SlowStartRate] + 0.5
 
@@ -224,7 +224,7 @@
 ENCODER = msgspec.msgpack.Encoder()
 PART_DECODER = msgspec.msgpack.Decoder(Part)
 ITEM_DECODER: msgspec.msgpack.Decoder[StateItem] = msgspec.msgpack.Decoder(StateItem)
-TAGS = frozenset(kind.__struct_config__.tag for kind in KINDS_BY_VALUE)
+TAGS = frozenset(kind.__struct_config__.tag for kind in KINDS_BY_PRIORITY)
 # How an invalid item is called in messages, where that is not its capitalized tag.
 TITLES: dict[type[Item], str] = {EndpointHealth: "Health"}
 
@@ -296,7 +296,7 @@
     return True
 
 
-def by_value(items: Iterable[StateItem]) -> list[StateItem]:
+def by_priority(items: Iterable[StateItem]) -> list[StateItem]:
     """Returns the items, the most valuable first, so that a transfer may be cut off anywhere."""
 
     def urgency(item: StateItem) -> tuple[float, float]:
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -41,7 +41,7 @@
         self.deployment = deployment_id(dispatcher.settings)
         self.incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
         self.received = 0
-        self.began = self.clock()
+        self.started_at = self.clock()
         self.names = IndexNames(dispatcher.settings, dispatcher.registry.names)
         self.origin = Origin(name, self.incarnation)
         self.inherited = InheritedKnowledge(self.balancer.state, self.names, self.origin, half_lives)
@@ -55,7 +55,7 @@
 
     def hello(self) -> Hello:
         """Returns what this instance says of itself on a connection."""
-        uptime = max(0.0, self.clock() - self.began)
+        uptime = max(0.0, self.clock() - self.started_at)
         return Hello(name=self.name, deployment=self.deployment, incarnation=self.incarnation, uptime=uptime)
 
     async def items(self, include_window: bool = False) -> list[StateItem]:
--- a/gatebank/state_transfer/receiver.py
+++ b/gatebank/state_transfer/receiver.py
@@ -82,7 +82,7 @@
         """Starts asking."""
         self.connect(self.selector.begin(self.loop.time()))
 
-    async def wait_until_served(self) -> None:
+    async def wait_until_may_serve(self) -> None:
         """Waits for sources, for ``patience`` seconds at most."""
         if not self.selector.sources:
             return
@@ -95,11 +95,11 @@
     def connect(self, connections: list[ConnectToSource]) -> None:
         """Starts the attempts that the selector asked for."""
         for connection in connections:
-            self.tasks.start(self.ask(connection))
+            self.tasks.start(self.attempt_transfer(connection))
         if self.selector.may_serve(self.loop.time()):
             self.may_serve.set()
 
-    async def ask(self, connection: ConnectToSource) -> None:
+    async def attempt_transfer(self, connection: ConnectToSource) -> None:
         """Makes one attempt at one source, and starts those that follow from its end."""
         source = connection.source
         await asyncio.sleep(max(0.0, connection.at - self.loop.time()))
@@ -141,7 +141,7 @@
         where = address(source, "donor")
         tls = self.keys.tls(is_server=False) if self.keys else None
         new_items = 0
-        with contextlib.closing(Connection.to(where, tls)) as connection:
+        with contextlib.closing(Connection.for_address(where, tls)) as connection:
             await connection.connect(where)
             if self.keys and tls and (reason := self.keys.rejection(tls, self.source_names)):
                 raise TransferProtocolError(f"its certificate is {reason}")
--- a/gatebank/state_transfer/session.py
+++ b/gatebank/state_transfer/session.py
@@ -84,13 +84,13 @@
             self.tasks.start(self.keys.watch())
         self.receiver.begin()
         self.tasks.start(self.reapply())
-        await self.receiver.wait_until_served()
+        await self.receiver.wait_until_may_serve()
         self.state.merge()
 
     async def reapply(self) -> None:
         """Merges again as the endpoint list becomes complete."""
         for seconds in REAPPLY_AT:
-            await asyncio.sleep(max(0.0, self.state.began + seconds - self.state.clock()))
+            await asyncio.sleep(max(0.0, self.state.started_at + seconds - self.state.clock()))
             self.state.merge()
 
     def reload_keys(self) -> None:
--- a/gatebank/state_transfer/snapshot.py
+++ b/gatebank/state_transfer/snapshot.py
@@ -31,7 +31,7 @@
     encode_part,
 )
 
-HEAD = struct.Struct("<8sII")  # magic, bytes of the body, checksum of the body
+HEADER = struct.Struct("<8sII")  # magic, bytes of the body, checksum of the body
 MAGIC = b"gbknown\x01"
 FILE_NAMES = ("known-0", "known-1")
 MAX_FILE_BYTES = 64 << 20  # ten thousand endpoints take 2 MB
@@ -145,7 +145,7 @@
         part=msgspec.Raw(encode_part(items)),
     )
     body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, len(body), crc32(body)) + body
+    return HEADER.pack(MAGIC, len(body), crc32(body)) + body
 
 
 def decode_header(data: bytes) -> Snapshot:
@@ -154,10 +154,10 @@
     Raises:
         SnapshotError: it is incomplete, changed or no snapshot.
     """
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise SnapshotError("torn: shorter than its head")
-    magic, size, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    magic, size, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if magic != MAGIC:
         raise SnapshotError("no snapshot of this program")
     if len(body) != size or crc32(body) != checksum:
--- a/gatebank/state_transfer/source.py
+++ b/gatebank/state_transfer/source.py
@@ -32,13 +32,13 @@
 if TYPE_CHECKING:
     from gatebank.state_transfer.peer_keys import PeerKeys
 
-BACKLOG = 64  # connections that the system holds for the listener
+LISTEN_BACKLOG = 64  # connections that the system holds for the listener
 # Seconds after an accept failed, as it does where the process has no descriptors left.
 ACCEPT_PAUSE = 0.05
 # Tasks, of which all but a few have a connection, are so many for each receiver that is served, and so many
 # more. A handshake takes a core for a millisecond: connections beyond these are closed at once.
 TASKS_PER_RECEIVER = 8
-FURTHER_TASKS = 64
+EXTRA_TASKS = 64
 
 
 class StateSource:
@@ -56,7 +56,7 @@
         self.loop = asyncio.get_running_loop()
         limits = SourceLimits(section.max_receivers, section.receivers_per_second, section.bytes_per_second)
         self.limiter = SourceLimiter(limits, state.seed)
-        self.max_tasks = TASKS_PER_RECEIVER * section.max_receivers + FURTHER_TASKS
+        self.max_tasks = TASKS_PER_RECEIVER * section.max_receivers + EXTRA_TASKS
         self.listener: socket.socket | None = None
         self.frames: list[bytes] = []
         self.frames_at = float("-inf")
@@ -77,7 +77,7 @@
         except OSError as error:
             reason = f"learning: listen {self.listen_address}: {error.strerror}"
             raise ConfigurationError(reason) from error
-        self.listener.listen(BACKLOG)
+        self.listener.listen(LISTEN_BACKLOG)
 
     def begin(self) -> None:
         """Starts accepting, if there is a listener."""
--- a/gatebank/state_transfer/source_selection.py
+++ b/gatebank/state_transfer/source_selection.py
@@ -83,21 +83,21 @@
         self.patience = patience
         self.max_attempts = max_attempts
         self.random = Random(seed)
-        self.began = 0.0
-        self.wanted = min(CONCURRENT_SOURCES, len(self.sources))
+        self.started_at = 0.0
+        self.required_transfers = min(CONCURRENT_SOURCES, len(self.sources))
         self.received = 0
         self.attempts = 0
 
     def begin(self, now: float) -> list[ConnectToSource]:
         """Starts the clock of ``patience``; returns the first connections."""
-        self.began = now
+        self.started_at = now
         return self.next_connections(now)
 
     def next_connections(self, now: float) -> list[ConnectToSource]:
         """Returns whom to ask now or later, as far as something is still wanted."""
         connections: list[ConnectToSource] = []
         in_progress = sum(progress.in_progress for progress in self.sources.values())
-        missing = self.wanted - self.received - in_progress
+        missing = self.required_transfers - self.received - in_progress
         free = [each for each in self.sources.values() if not each.in_progress and not each.done]
         # Those that were never asked come first, by rank; then those that may be asked again soonest.
         free.sort(key=lambda progress: (progress.attempts, progress.not_before))
@@ -145,4 +145,8 @@
     def may_serve(self, now: float) -> bool:
         """Returns whether the instance is to serve without waiting any longer."""
         in_progress = any(progress.in_progress for progress in self.sources.values())
-        return self.received >= self.wanted or not in_progress or now - self.began >= self.patience
+        return (
+            self.received >= self.required_transfers
+            or not in_progress
+            or now - self.started_at >= self.patience
+        )
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -29,8 +29,8 @@
 from gatebank.state_transfer.weighting import EndpointProcess
 
 MAX_WINDOW_ROWS = 4096  # attempts and requests in one export: a window of 2 s at 2,000 a second
-SLICE = 256  # endpoints exported in one turn of the event loop: about a millisecond
-OWN_RESULTS = 5  # of an endpoint, from which what was inherited of it is not passed on
+ENDPOINTS_PER_SLICE = 256  # endpoints exported in one turn of the event loop: about a millisecond
+MIN_OWN_RESULTS = 5  # of an endpoint, from which what was inherited of it is not passed on
 SLOW_START_MARGIN = 1.0  # seconds beyond the warm-up
 MIN_ATTEMPT_TIME = 0.1  # seconds, where usual times are shorter or not known
 MAX_RATE = 1e6  # attempts a second
@@ -70,7 +70,7 @@
         """
         endpoints = self.seen_endpoints()
         passed_on = self.passed_on(endpoints)
-        urgent = [item for item in passed_on if _is_urgent(item)]
+        urgent = [item for item in passed_on if is_urgent(item)]
         yield [
             *self.release(),
             *self.slow_starts(),
@@ -83,11 +83,11 @@
         if include_window:
             yield list(self.window())
         healthy = [row for row in endpoints if not row[1].ejected]
-        for start in range(0, len(healthy), SLICE):
-            yield [self.health(name, each) for name, each in healthy[start : start + SLICE]]
-        rest = [item for item in passed_on if not _is_urgent(item)]
-        for start in range(0, len(rest), SLICE):
-            yield rest[start : start + SLICE]
+        for start in range(0, len(healthy), ENDPOINTS_PER_SLICE):
+            yield [self.health(name, each) for name, each in healthy[start : start + ENDPOINTS_PER_SLICE]]
+        rest = [item for item in passed_on if not is_urgent(item)]
+        for start in range(0, len(rest), ENDPOINTS_PER_SLICE):
+            yield rest[start : start + ENDPOINTS_PER_SLICE]
 
     def seen_endpoints(self) -> list[tuple[str, EndpointState]]:
         """Endpoints with results of this instance's own, by name."""
@@ -104,7 +104,7 @@
         A former incarnation's single rows are of use to nobody but a later start of that name, from its own
         snapshot.
         """
-        seen = {name for name, endpoint in endpoints if endpoint.results >= OWN_RESULTS}
+        seen = {name for name, endpoint in endpoints if endpoint.results >= MIN_OWN_RESULTS}
         items = self.inherited.items(self.now) if self.inherited else []
         return [
             item
@@ -256,7 +256,8 @@
                 )
 
 
-def _is_urgent(item: StateItem) -> bool:
+def is_urgent(item: StateItem) -> bool:
+    """Returns whether an item limits traffic and is therefore exported before all others."""
     return isinstance(item, ReleaseReport | SlowStartRate) or (
         isinstance(item, EndpointHealth) and item.ejected
     )
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -45,9 +45,9 @@
 # Seconds: nothing older is used, whatever its half-life; an hour-old view of a fleet is of another fleet.
 MAX_AGE = 3600.0
 # Failure rate from which a report of an endpoint counts as a bad one, and ages as such.
-FAILING_RATE = 0.2
+MIN_FAILING_RATE = 0.2
 # Outcomes of a good report after which it lifts an older ejection that another source reported.
-RECOVERY_OUTCOMES = 5
+MIN_RECOVERY_OUTCOMES = 5
 # Exposure windows after which a slow-start rate says nothing: by then the attempts it counted have ended.
 SLOW_START_WINDOWS = 2
 ROLLED_BACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
@@ -86,7 +86,7 @@
 
 
 @dataclass(slots=True)
-class EndpointBelief:
+class MergedEndpoint:
     """What is believed of an endpoint.
 
     Attributes:
@@ -106,7 +106,7 @@
     slow_start_rate: float = 0.0
 
 
-class BaselineBelief(NamedTuple):
+class MergedBaseline(NamedTuple):
     """How often the baseline build fails by one ratio, already weighted; see `items.BaselineFailures`."""
 
     weighted_failures: float
@@ -121,7 +121,7 @@
     machine_kind: str
 
 
-class LatencyBelief(NamedTuple):
+class MergedLatency(NamedTuple):
     """A usual latency in seconds, and for how many outcomes it counts."""
 
     latency: float
@@ -138,10 +138,10 @@
         window_known: those two are complete, from a snapshot that was written at shutdown.
     """
 
-    endpoints: dict[str, EndpointBelief] = field(default_factory=dict)
+    endpoints: dict[str, MergedEndpoint] = field(default_factory=dict)
     sums: list[SequentialTestSums] = field(default_factory=list)
-    baseline: dict[str, BaselineBelief] = field(default_factory=dict)
-    latencies: dict[LatencyKey, LatencyBelief] = field(default_factory=dict)
+    baseline: dict[str, MergedBaseline] = field(default_factory=dict)
+    latencies: dict[LatencyKey, MergedLatency] = field(default_factory=dict)
     release: ReleaseReport | None = None
     sent: list[SentAttempt] = field(default_factory=list)
     admitted: list[AdmittedRequest] = field(default_factory=list)
@@ -149,7 +149,7 @@
 
 
 @dataclass(slots=True)
-class Reports:
+class ReportsBySubject:
     """Items that are merged, by what they are of."""
 
     health: dict[str, list[EndpointHealth]] = field(default_factory=dict)
@@ -205,14 +205,14 @@
         half_lives: of each kind.
     """
     merged = MergedState()
-    reports = Reports()
+    reports = ReportsBySubject()
     for item in newest(items):
         if isinstance(item, EndpointHealth | SlowStartRate) and not is_running(item, processes):
             continue
         if not reports.add(item):
-            take_unmerged(merged, item, name, window, half_lives)
+            add_unmerged(merged, item, name, window, half_lives)
     for endpoint, health in reports.health.items():
-        merge_health(merged.endpoints.setdefault(endpoint, EndpointBelief()), health, half_lives)
+        merge_health(merged.endpoints.setdefault(endpoint, MergedEndpoint()), health, half_lives)
     for key, latencies in reports.latencies.items():
         if latency := merge_latencies(latencies, half_lives.usual_latency):
             merged.latencies[key] = latency
@@ -222,13 +222,13 @@
     return merged
 
 
-def take_unmerged(
+def add_unmerged(
     merged: MergedState, item: StateItem, name: str, window: float, half_lives: HalfLives
 ) -> None:
     """Adds an item of a kind that is used as it is, if it is young enough and of use to this instance."""
     match item:
         case SlowStartRate() if item.origin != name and item.age < SLOW_START_WINDOWS * window:
-            belief = merged.endpoints.setdefault(item.endpoint, EndpointBelief())
+            belief = merged.endpoints.setdefault(item.endpoint, MergedEndpoint())
             belief.slow_start_rate += item.rate  # each sender's own, so the endpoint gets their sum
         case SequentialTestSums() if weight(item, half_lives.test_sums) >= MIN_WEIGHT:
             merged.sums.append(item)
@@ -248,7 +248,7 @@
 
 def is_bad(report: EndpointHealth) -> bool:
     """Returns whether a report of an endpoint is a bad one, which ages more slowly than a good one."""
-    return report.ejected or report.failure_rate >= FAILING_RATE
+    return report.ejected or report.failure_rate >= MIN_FAILING_RATE
 
 
 def health_half_life(report: EndpointHealth, half_lives: HalfLives) -> float:
@@ -256,7 +256,7 @@
     return half_lives.failing_endpoint if is_bad(report) else half_lives.healthy_endpoint
 
 
-def merge_health(belief: EndpointBelief, reports: list[EndpointHealth], half_lives: HalfLives) -> None:
+def merge_health(belief: MergedEndpoint, reports: list[EndpointHealth], half_lives: HalfLives) -> None:
     """Merges the reports of one endpoint into a belief of it."""
     weighted = [(report, weight(report, health_half_life(report, half_lives))) for report in reports]
     good = [row for row in weighted if not is_bad(row[0])]
@@ -288,7 +288,7 @@
 
 
 def merge_ejections(
-    belief: EndpointBelief,
+    belief: MergedEndpoint,
     good: list[tuple[EndpointHealth, float]],
     bad: list[tuple[EndpointHealth, float]],
 ) -> None:
@@ -301,12 +301,12 @@
     """
     ejections = [report for report, share in bad if report.ejected and share >= MIN_WEIGHT]
     latest = min((report.age for report in ejections), default=0.0)
-    recovered = any(report.age < latest and report.outcomes >= RECOVERY_OUTCOMES for report, _ in good)
+    recovered = any(report.age < latest and report.outcomes >= MIN_RECOVERY_OUTCOMES for report, _ in good)
     belief.ejected = bool(ejections) and not recovered
     belief.ejection_time = max((report.ejection_time for report in ejections), default=0.0)
 
 
-def merge_latencies(reports: list[UsualLatency], half_life: float) -> LatencyBelief | None:
+def merge_latencies(reports: list[UsualLatency], half_life: float) -> MergedLatency | None:
     """Returns the mean by weight and outcomes, without reports far off that of most weighted outcomes.
 
     Agreement adds no outcomes: the mean counts for as many as the best report has, at most.
@@ -323,16 +323,16 @@
     if not total:
         return None
     mean = sum(report.latency * share * report.outcomes for report, share in weighted) / total
-    return LatencyBelief(mean, int(min(total, max(report.outcomes for report, _ in weighted))))
+    return MergedLatency(mean, int(min(total, max(report.outcomes for report, _ in weighted))))
 
 
-def best_baseline(reports: list[BaselineFailures], half_life: float) -> BaselineBelief | None:
+def best_baseline(reports: list[BaselineFailures], half_life: float) -> MergedBaseline | None:
     """Returns the report of most weighted outcomes alone: sources saw much of the same minutes."""
     weighted = [(report, weight(report, half_life)) for report in reports]
     best, share = max(weighted, key=lambda row: row[1] * row[0].weighted_total)
     if share < MIN_WEIGHT:
         return None
-    return BaselineBelief(best.weighted_failures * share, best.weighted_total * share, best.recent_rate)
+    return MergedBaseline(best.weighted_failures * share, best.weighted_total * share, best.recent_rate)
 
 
 def newer_release(earlier: ReleaseReport | None, other: ReleaseReport) -> ReleaseReport:
--- a/tests/test_key_folder.py
+++ b/tests/test_key_folder.py
@@ -11,7 +11,7 @@
 from gatebank.keys import folder
 from gatebank.keys.authority import AuthorityError, KeyPair, make_authority, make_instance
 from gatebank.keys.folder import ReloadableKeys
-from tests.support.learning_stand import make_keys
+from tests.support.transfer_testbed import make_keys
 
 Spoil = Callable[[Path, KeyPair], object]
 
