--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -206,8 +206,8 @@
     assert sum(isinstance(item, EndpointHealth) for item in items) == endpoints + 1
     print(
         f"{endpoints:,} endpoints: {sum(map(len, frames)):,} bytes in {len(frames)} parts; longest slice of"
-        f" {ENDPOINTS_PER_SLICE} endpoints {max(slices) * 1e3:.2f} ms, packing {packing * 1e3:.1f} ms in all, reading"
-        f" {reading * 1e3:.1f} ms"
+        f" {ENDPOINTS_PER_SLICE} endpoints {max(slices) * 1e3:.2f} ms, packing {packing * 1e3:.1f} ms in all,"
+        f" reading {reading * 1e3:.1f} ms"
     )
 
 
