--- a/gatebank/__main__.py
+++ b/gatebank/__main__.py
@@ -78,7 +78,7 @@
     orders: OperatorsPath = None,
 ) -> None:
     """Run one instance until SIGTERM; on SIGHUP it reads its configuration again."""
-    log.begin(log_level)
+    log.configure_logging(log_level)
     environment = environment_with(configuration)
     try:
         composition.serve(load_configuration(environment), environment, read_operators_file(orders))
--- a/gatebank/cli/capture/replay.py
+++ b/gatebank/cli/capture/replay.py
@@ -33,8 +33,8 @@
     Address,
     Configuration,
     ConfigurationError,
-    address,
     load_configuration,
+    parse_address,
 )
 from gatebank.replay.errors import ReplayError
 from gatebank.replay.guard import Guard, address_text
@@ -85,7 +85,7 @@
         CommandLineError: Something is wrong with the options or files, or the guard refuses the target.
         typer.Exit: Status 1 if not all went well, 130 after an interrupt.
     """
-    log.begin("warning")
+    log.configure_logging("warning")
     source.require_files()
     check_options(options)
     targets = permitted_targets(options)
@@ -153,7 +153,7 @@
     """
     try:
         if options.to:
-            return ReplayTarget(address(options.to, "--to"), None)
+            return ReplayTarget(parse_address(options.to, "--to"), None)
         environment = dict(os.environ) | {"ROUTER_CONFIG": str(options.inside)}
         configuration = load_configuration(environment)
     except ConfigurationError as error:
--- a/gatebank/cli/state_sources.py
+++ b/gatebank/cli/state_sources.py
@@ -12,7 +12,7 @@
 
 from gatebank.errors import GatebankError
 from gatebank.keys.tls_stream import TlsStream
-from gatebank.proxy.configuration import Address, ConfigurationError, address, load_configuration
+from gatebank.proxy.configuration import Address, ConfigurationError, load_configuration, parse_address
 from gatebank.state_transfer import snapshot
 from gatebank.state_transfer.connection import Connection
 from gatebank.state_transfer.items import InvalidItemError, StateItem, by_value
@@ -68,7 +68,7 @@
     if path.exists():
         return by_value(load_snapshot(path))
     try:
-        where = address(source, "source")
+        where = parse_address(source, "source")
     except ConfigurationError as error:
         raise StateSourceError(f"{error}, and no such file") from error
     return by_value(asyncio.run(ask_instance(source, where, keys_folder, configuration)))
--- a/gatebank/proxy/buffers.py
+++ b/gatebank/proxy/buffers.py
@@ -11,16 +11,16 @@
     """What came is not of the protocol, or larger than allowed; the text says what."""
 
 
-class Allowance:
+class MemoryBudget:
     """Bytes that many buffers share for what they grow beyond their first room."""
 
     def __init__(self, size: int) -> None:
-        self.left = size
+        self.available = size
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Take so many bytes, if they are left; who took them gives them back by adding to ``left``."""
-        fits = size <= self.left
-        self.left -= size if fits else 0
+        fits = size <= self.available
+        self.available -= size if fits else 0
         return fits
 
 
@@ -35,17 +35,17 @@
     end: int
 
     @property
-    def held(self) -> int:
+    def incomplete_bytes(self) -> int:
         """Bytes of a message that is not whole yet."""
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where the next read goes; ends the life of all slices given out.
 
         Raises:
             ProtocolError: A message does not fit what is allowed.
         """
 
-    def filled(self, size: int) -> None:
+    def commit(self, size: int) -> None:
         """Count bytes that were read into `room`."""
 
     def close(self) -> None:
--- a/gatebank/proxy/configuration.py
+++ b/gatebank/proxy/configuration.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Bounds:
+class MemoryBounds:
     """Bytes for what may pile up, in parts of what the memory limit leaves beside an empty process.
 
     The parts add up to three quarters: the rest is for rows, first buffers and the allocator.
@@ -59,16 +59,19 @@
         buffers: Beyond their first room: for clients' and for endpoints' connections each.
     """
 
-    commands: int
-    answers: int
-    buffers: int
+    request_bytes: int
+    unread_reply_bytes: int
+    buffer_growth_bytes: int
 
     @classmethod
-    def within(cls, memory_mb: float) -> Bounds:
+    def within(cls, memory_mb: float) -> MemoryBounds:
         """Share out a memory limit.
 
-        >>> Bounds.within(192), Bounds.within(32).buffers
-        (Bounds(commands=21233664, answers=63700992, buffers=21233664), 262144)
+        >>> bounds = MemoryBounds.within(192)
+        >>> bounds.request_bytes, bounds.unread_reply_bytes, bounds.buffer_growth_bytes
+        (21233664, 63700992, 21233664)
+        >>> MemoryBounds.within(32).buffer_growth_bytes
+        262144
         """
         spare = max(MIN_SPARE_BYTES, int(memory_mb * MB) - EMPTY_PROCESS_BYTES)
         return cls(spare // 8, 3 * spare // 8, spare // 8)
@@ -101,17 +104,17 @@
     peer_broadcast: Address | None
     seed: int
     descriptors: int
-    bounds: Bounds
+    bounds: MemoryBounds
     initial_endpoints: Mapping[str, Any] | None
     settings: Settings
 
 
-def address(text: object, field: str) -> Address:
+def parse_address(text: object, field: str) -> Address:
     """Read an IP address and port; ``field`` names the place in errors.
 
-    >>> address("127.0.0.4:6379", "listen"), address("[::1]:7", "listen")
+    >>> parse_address("127.0.0.4:6379", "listen"), parse_address("[::1]:7", "listen")
     (('127.0.0.4', 6379), ('::1', 7))
-    >>> address("somewhere:70000", "listen")
+    >>> parse_address("somewhere:70000", "listen")
     Traceback (most recent call last):
     gatebank.proxy.configuration.ConfigurationError: listen: 'somewhere:70000' is no IP address and port
     """
@@ -126,9 +129,9 @@
     raise ConfigurationError(f"{text!r} is no IP address and port", field=field)
 
 
-def optional_address(text: object, field: str) -> Address | None:
-    """As `address`; None where there is nothing."""
-    return None if text in (None, "") else address(text, field)
+def parse_optional_address(text: object, field: str) -> Address | None:
+    """As `parse_address`; None where there is nothing."""
+    return None if text in (None, "") else parse_address(text, field)
 
 
 def load_configuration(environment: Mapping[str, str]) -> Configuration:
@@ -185,15 +188,15 @@
     return Configuration(
         seed=parse_seed(given),
         descriptors=parse_descriptors(limits),
-        bounds=Bounds.within(parse_memory_mb(limits)),
+        bounds=MemoryBounds.within(parse_memory_mb(limits)),
         name=str(given.get("name", "marshal")),
-        listen=address(given.get("listen"), "listen"),
-        discovery=optional_address(given.get("discovery"), "discovery"),
-        release_service=optional_address(release_service.get("address"), "platform.address"),
+        listen=parse_address(given.get("listen"), "listen"),
+        discovery=parse_optional_address(given.get("discovery"), "discovery"),
+        release_service=parse_optional_address(release_service.get("address"), "platform.address"),
         initial_status=release_service.get("news"),
-        peer_listen=optional_address(given.get("peer_listen"), "peer_listen"),
-        peers=tuple(address(peer, "peers") for peer in peers),
-        peer_broadcast=optional_address(given.get("peers_all"), "peers_all"),
+        peer_listen=parse_optional_address(given.get("peer_listen"), "peer_listen"),
+        peers=tuple(parse_address(peer, "peers") for peer in peers),
+        peer_broadcast=parse_optional_address(given.get("peers_all"), "peers_all"),
         initial_endpoints=initial_endpoints if isinstance(initial_endpoints, dict) else None,
         settings=settings,
     )
--- a/gatebank/proxy/control_plane.py
+++ b/gatebank/proxy/control_plane.py
@@ -12,10 +12,10 @@
 from gatebank.proxy.configuration import Configuration, ConfigurationError, load_configuration
 from gatebank.proxy.discovery import EndpointListError, EndpointRegistry, EndpointWatch, PollBackoff
 from gatebank.proxy.dispatcher import Dispatcher
-from gatebank.proxy.log import log_event, say
+from gatebank.proxy.log import log_event, log_kv
 from gatebank.proxy.release_messages import ReleaseStatusError, parse_status
 from gatebank.proxy.release_service import ReleaseService
-from gatebank.proxy.sockets import WatchTurn
+from gatebank.proxy.sockets import WatchLease
 from gatebank.proxy.supervisor import run_forever
 
 # Names of the watches, as they stand in log lines of faults.
@@ -71,16 +71,16 @@
         self.dispatcher = dispatcher
         self.registry = registry
         self.release_service = release_service
-        self.turns: dict[str, WatchTurn] = {}  # by the watch's name: two rows at most
+        self.turns: dict[str, WatchLease] = {}  # by the watch's name: two rows at most
 
-    def move(self, configuration: Configuration, version: int | None = None) -> None:
+    def update_addresses(self, configuration: Configuration, version: int | None = None) -> None:
         """Watch at the configuration's addresses; ``version`` is that of the endpoint list known already."""
         if configuration.discovery:
             self.watch_discovery(configuration, version)
         else:
             self.end(DISCOVERY_WATCH)
         where = configuration.release_service
-        self.release_service.where = where  # votes that are out end where they were cast
+        self.release_service.address = where  # votes that are out end where they were cast
         if where:
             self.start(RELEASE_WATCH, lambda turn: self.release_service.watch(where, turn))
         else:
@@ -92,7 +92,7 @@
         assert where
         backoff = PollBackoff(self.dispatcher.settings, Random(f"{configuration.seed} roll"))
 
-        def watch(turn: WatchTurn) -> Awaitable[None]:
+        def watch(turn: WatchLease) -> Awaitable[None]:
             endpoint_watch = EndpointWatch(
                 where, self.registry, self.dispatcher, version=version, backoff=backoff, turn=turn
             )
@@ -100,9 +100,9 @@
 
         self.start(DISCOVERY_WATCH, watch)
 
-    def start(self, name: str, work: Callable[[WatchTurn], Awaitable[None]]) -> None:
+    def start(self, name: str, work: Callable[[WatchLease], Awaitable[None]]) -> None:
         """Begin a watch; the one before goes on until this has received something."""
-        turn = WatchTurn(self.turns.get(name))
+        turn = WatchLease(self.turns.get(name))
         self.turns[name] = turn
         turn.task = asyncio.ensure_future(run_forever(name, lambda: work(turn)))
 
@@ -155,7 +155,7 @@
                 read_initial_knowledge(configuration, EndpointRegistry(configuration.settings))
             except ConfigurationError as error:
                 if str(error) != reason:
-                    say("reload_failed", logging.ERROR, why=error)
+                    log_kv("reload_failed", logging.ERROR, why=error)
                 reason = str(error)
                 await asyncio.sleep(delay)
                 delay = min(2 * delay, MAX_RELOAD_DELAY_S)
@@ -167,6 +167,6 @@
 
     def apply(self, configuration: Configuration) -> None:
         """Move the watches."""
-        self.watches.move(configuration)
+        self.watches.update_addresses(configuration)
         addresses = {"discovery": configuration.discovery, "desk": configuration.release_service}
         log_event("reloaded", {name: f"{at[0]}:{at[1]}" if at else "none" for name, at in addresses.items()})
--- a/gatebank/proxy/discovery.py
+++ b/gatebank/proxy/discovery.py
@@ -18,23 +18,23 @@
 from gatebank.errors import GatebankError
 from gatebank.events import Condition, Endpoint
 from gatebank.peer_messages import name_hash
-from gatebank.proxy.configuration import Address, ConfigurationError, address
-from gatebank.proxy.http import HttpCaller, NoReplyError
-from gatebank.proxy.log import say
-from gatebank.proxy.sockets import WatchTurn
+from gatebank.proxy.configuration import Address, ConfigurationError, parse_address
+from gatebank.proxy.http import HttpClient, NoReplyError
+from gatebank.proxy.log import log_kv
+from gatebank.proxy.sockets import WatchLease
 from gatebank.settings import Settings
 
 WATCH_PATH = "/discovery/hosts"
 WATCH_WAIT_S = 2.0  # that a watch may wait: an outage shows this soon; PROTOCOL allows 60
 ANSWER_LATE_S = 1.0  # that an answer may come after that wait before the connection is held dead
-MIN_DELAY_S = 0.1  # before a new try: within the 0.2 s in which a watch goes on
+MIN_RETRY_DELAY_S = 0.1  # before a new try: within the 0.2 s in which a watch goes on
 # Calls a second of all instances together where calls cost discovery. When 40 instances tried again after
 # 0.1 s, it answered 15 and refused 25, at 240 calls a second, to the end of the day; where they began with
 # 2 s it answered all within 5 s, with 0.5 s within 13 s (herd+vast, a play each).
 FLEET_CALLS_PER_S = 20
-MAX_DELAY_S = 4.0  # half as much again by chance: what a list says counts as told 6 s later (PROTOCOL)
+MAX_RETRY_DELAY_S = 4.0  # half as much again by chance: what a list says counts as told 6 s later (PROTOCOL)
 DELAY_GROWTH = 1.5  # from one delay to the next
-RESTING_INDICES = 256  # free before one is used again: more than a list changes while an attempt is out
+MIN_FREE_INDICES = 256  # free before one is used again: more than a list changes while an attempt is out
 MAX_NUMBER = 1e15  # exclusive; above it a float is no whole number any more
 CONDITIONS = {"SERVING": Condition.READY, "DRAINING": Condition.DRAINING, "DELETED": Condition.GONE}
 NO_ADDRESS: Address = ("", 0)
@@ -86,9 +86,9 @@
     nothing speaks of the old endpoint any more.
 
     >>> registry = EndpointRegistry(Settings())
-    >>> for name in range(2 * RESTING_INDICES):
+    >>> for name in range(2 * MIN_FREE_INDICES):
     ...     registry.retain({registry.index_of("stays"), registry.index_of(str(name))})
-    >>> len(registry.names) <= RESTING_INDICES + 3, registry.index_of("stays"), len(registry.indices)
+    >>> len(registry.names) <= MIN_FREE_INDICES + 3, registry.index_of("stays"), len(registry.indices)
     (True, 0, 2)
     """
 
@@ -103,7 +103,7 @@
     def index_of(self, name: str) -> int:
         """The endpoint's index; a new one for a name that has none."""
         if name not in self.indices:
-            if len(self.free_indices) <= RESTING_INDICES:
+            if len(self.free_indices) <= MIN_FREE_INDICES:
                 self.free_indices.appendleft(len(self.names))
                 self.names.append("")
                 self.addresses.append(NO_ADDRESS)
@@ -132,7 +132,7 @@
             entries = [self.parse_entry(instance) for instance in listing["instances"]]
         except (KeyError, TypeError, ValueError, AttributeError, ConfigurationError) as error:
             raise EndpointListError(f"a listing can't be read: {type(error).__name__} {error}") from error
-        return EndpointList([self.take(entry) for entry in entries], is_complete, version)
+        return EndpointList([self.register(entry) for entry in entries], is_complete, version)
 
     def parse_entry(self, instance: Mapping[str, Any]) -> ListEntry:
         """Check one line of a listing; nothing is changed by it yet."""
@@ -150,7 +150,7 @@
         is_gone = condition is Condition.GONE and not instance.get("hostPort")
         return ListEntry(
             name=name,
-            address=None if is_gone else address(instance["hostPort"], "hostPort"),
+            address=None if is_gone else parse_address(instance["hostPort"], "hostPort"),
             machine_kind=self.machine_kinds.get(instance.get("machineType"), 0),
             zone=self.zones.get(instance.get("zone"), 0),
             cell=cell,
@@ -160,7 +160,7 @@
             weight=float(weight),
         )
 
-    def take(self, entry: ListEntry) -> Endpoint:
+    def register(self, entry: ListEntry) -> Endpoint:
         """Give an entry its index, and note its address."""
         index = self.index_of(entry.name)
         self.addresses[index] = entry.address or self.addresses[index]
@@ -207,25 +207,25 @@
         self.is_shared = settings.polls_endpoints
         self.random = random
         self.min_refused_delay = min(
-            MAX_DELAY_S, max(MIN_DELAY_S, settings.instance_count / FLEET_CALLS_PER_S)
+            MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, settings.instance_count / FLEET_CALLS_PER_S)
         )
-        self.delay = MIN_DELAY_S
+        self.delay = MIN_RETRY_DELAY_S
 
-    def first(self) -> float:
+    def first_delay(self) -> float:
         """Seconds before the first call: those that were killed together start together."""
         return self.random.uniform(0.0, self.min_refused_delay / 2) if self.is_shared else 0.0
 
-    def failed(self, refused: bool) -> float:
+    def delay_after_failure(self, refused: bool) -> float:
         """Seconds before the next call, after one that failed."""
         if not self.is_shared:
-            return MIN_DELAY_S
-        delay = max(self.delay, self.min_refused_delay if refused else MIN_DELAY_S)
-        self.delay = min(MAX_DELAY_S, delay * DELAY_GROWTH)
+            return MIN_RETRY_DELAY_S
+        delay = max(self.delay, self.min_refused_delay if refused else MIN_RETRY_DELAY_S)
+        self.delay = min(MAX_RETRY_DELAY_S, delay * DELAY_GROWTH)
         return delay * self.random.uniform(0.5, 1.5)
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """A call was answered: the next that fails is the first again."""
-        self.delay = MIN_DELAY_S
+        self.delay = MIN_RETRY_DELAY_S
 
 
 class EndpointListener(Protocol):
@@ -261,30 +261,30 @@
         *,
         version: int | None,
         backoff: PollBackoff,
-        turn: WatchTurn,
+        turn: WatchLease,
     ) -> None:
         self.registry = registry
         self.listener = listener
         self.version = version
         self.backoff = backoff
         self.turn = turn
-        self.caller = HttpCaller(where)
-        self.is_lost = False
+        self.caller = HttpClient(where)
+        self.is_failing = False
 
     async def run(self) -> None:
         """Watch until the turn is over."""
         try:
-            await asyncio.sleep(self.backoff.first())
+            await asyncio.sleep(self.backoff.first_delay())
             while True:
                 try:
                     listing = await self.poll()
                 except (NoReplyError, DiscoveryRefusedError, EndpointListError, ValueError) as error:
-                    if self.turn.over:
+                    if self.turn.is_superseded:
                         return
                     refused = isinstance(error, DiscoveryRefusedError)
                     self.note_failure(error, refused)
                     self.caller.close()
-                    await asyncio.sleep(self.backoff.failed(refused))
+                    await asyncio.sleep(self.backoff.delay_after_failure(refused))
                 else:
                     self.take(listing)
         finally:
@@ -312,20 +312,20 @@
 
     def note_failure(self, error: Exception, refused: bool) -> None:
         """Say once that discovery is lost, and count each call that failed."""
-        if not self.is_lost:
-            say("roll_lost", logging.WARNING, why=error)
+        if not self.is_failing:
+            log_kv("roll_lost", logging.WARNING, why=error)
             self.listener.on_watch_failed()
-        self.is_lost = True
+        self.is_failing = True
         self.listener.count("roll refused" if refused else "roll unanswered")
 
     def take(self, listing: EndpointList) -> None:
         """Pass a listing on."""
         self.version = listing.version
-        self.backoff.answered()
-        self.turn.begins()
-        if self.is_lost:
-            say("roll_back", version=listing.version)
-        self.is_lost = False
+        self.backoff.reset()
+        self.turn.on_first_message()
+        if self.is_failing:
+            log_kv("roll_back", version=listing.version)
+        self.is_failing = False
         if listing.endpoints or listing.is_complete:
-            say("roll", version=listing.version, whole=listing.is_complete, entries=len(listing.endpoints))
+            log_kv("roll", version=listing.version, whole=listing.is_complete, entries=len(listing.endpoints))
             self.listener.on_endpoint_list(listing.endpoints, listing.is_complete)
--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -12,7 +12,7 @@
 from gatebank.proxy.downstream import limits
 from gatebank.proxy.downstream.replies import PendingReply
 from gatebank.proxy.messages import CommandError
-from gatebank.proxy.sockets import hung_up, seconds_since_received, unsent
+from gatebank.proxy.sockets import has_unsent_bytes, peer_has_closed, seconds_since_received
 from gatebank.proxy.stream import Stream
 
 if TYPE_CHECKING:
@@ -69,7 +69,7 @@
         That is what it has asked and was not read, or answers that it is slow to take; not those of a client
         that takes nothing for long.
         """
-        return self.has_unread() or (now - self.since < limits.STALL_S and unsent(self.sock))
+        return self.has_unread() or (now - self.since < limits.STALL_S and has_unsent_bytes(self.sock))
 
     # Reading.
 
@@ -77,17 +77,19 @@
         """Read commands until the client ends, breaks off, or says what is no command."""
         try:
             while True:
-                size = await self.reading.of(self.loop.sock_recv_into(self.sock, self.inbox.room()))
+                size = await self.reading.run(
+                    self.loop.sock_recv_into(self.sock, self.receive_buffer.free_space())
+                )
                 if not size:
                     self.on_disconnect()
                     break
-                recorded = self.received(size)
+                recorded = self.account_read(size)
                 if self.recording and recorded is not None:
-                    self.recording.asked(recorded)
+                    self.recording.record_request_bytes(recorded)
                 self.note_waiting()
                 taken = await self.take_commands()
                 self.note_partial_command(taken)
-                self.handling = False
+                self.is_handling_read = False
                 if taken != 1:  # more may wait: a read that finds bytes does not let others have their turn
                     await asyncio.sleep(0)
         except ProtocolError as error:
@@ -95,7 +97,7 @@
         except OSError:
             pass
         finally:
-            self.handling = False
+            self.is_handling_read = False
             if not self.ending:
                 self.close()
 
@@ -103,7 +105,7 @@
         """Note how long what was read lay here, and whether its client went meanwhile."""
         waited = seconds_since_received(self.sock)
         self.waited = waited if waited >= limits.MIN_WAIT_S else 0.0
-        self.client_has_gone = self.waited > 0 and hung_up(self.sock)
+        self.client_has_gone = self.waited > 0 and peer_has_closed(self.sock)
 
     async def take_commands(self) -> int:
         """Take the whole commands that were read, as fast as their answers go out; returns how many."""
@@ -121,7 +123,7 @@
     def note_partial_command(self, taken: int) -> None:
         """Set the clocks of a command of which only a part has come."""
         self.bytes_since = self.loop.time()
-        if not self.inbox.held:
+        if not self.receive_buffer.incomplete_bytes:
             self.command_since = 0.0
         elif taken or not self.command_since:
             self.command_since = self.bytes_since
@@ -195,7 +197,7 @@
         The close comes at once, for only a close tells the client: the system resets a connection on which
         something lies unread. Answers that it is slow to take go out first, and `check_clocks` closes.
         """
-        if not unsent(self.sock):
+        if not has_unsent_bytes(self.sock):
             self.close()
             return
         self.begin_end()
@@ -212,7 +214,7 @@
 
     def check_clocks(self, now: float, crowded: bool) -> None:
         """Do what time alone brings about; ``crowded``: more than half the room is taken."""
-        if (self.handling or self.ending) and self.replies and hung_up(self.sock):
+        if (self.is_handling_read or self.ending) and self.replies and peer_has_closed(self.sock):
             self.on_disconnect()  # it is not being read, so that nobody else sees the end
         elif self.ending:
             self.check_end(now)
@@ -224,13 +226,13 @@
     def check_end(self, now: float) -> None:
         """Close a connection that ends, once its answers are out or late."""
         if self.idle:  # so that the error line is read, or the end seen
-            if now - self.since >= (limits.SETTLE_S if unsent(self.sock) else limits.LINGER_S):
+            if now - self.since >= (limits.SETTLE_S if has_unsent_bytes(self.sock) else limits.LINGER_S):
                 self.close()
         elif now - self.since >= limits.SETTLE_S:  # its error line is due: the rest gets its final answer
             self.since = now
             replies = list(self.replies)
             for reply in replies:
-                self.downstream.handler.abandon_reply(reply)
+                self.downstream.handler.fail_reply(reply)
             if not replies:  # it does not take its answers
                 self.close()
 
@@ -289,7 +291,7 @@
             self.downstream.close_soon(self)
             return
         if self.recording and sent:
-            self.recording.replied(b"".join(parts)[:sent], "; ".join(comments))
+            self.recording.record_reply_bytes(b"".join(parts)[:sent], "; ".join(comments))
         if sent < size:
             self.keep_unwritten(b"".join(parts)[sent:])
             self.writer = asyncio.ensure_future(self.write_rest())
@@ -318,7 +320,7 @@
                 async with asyncio.timeout(limits.STALL_S):
                     await self.loop.sock_sendall(self.sock, part)
                 if self.recording:
-                    self.recording.replied(part)
+                    self.recording.record_reply_bytes(part)
                 self.unwritten = self.unwritten[len(part) :]
                 self.downstream.unwritten_bytes -= len(part)
         except (OSError, TimeoutError):
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -7,15 +7,15 @@
 import socket
 from math import inf
 
-from gatebank.proxy.buffers import Allowance
-from gatebank.proxy.configuration import Address, Bounds
+from gatebank.proxy.buffers import MemoryBudget
+from gatebank.proxy.configuration import Address, MemoryBounds
 from gatebank.proxy.downstream import limits
 from gatebank.proxy.downstream.connection import ClientConnection
 from gatebank.proxy.downstream.replies import RequestHandler
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import request_classes_by_name, tenants_by_name
 from gatebank.proxy.resp2.session import ClientSession
-from gatebank.proxy.sockets import Pending, Record, opened
+from gatebank.proxy.sockets import PendingOperation, StartRecording, open_socket
 from gatebank.settings import Settings
 
 
@@ -36,16 +36,16 @@
         broken_count: Connections that sent what is no command, since the start.
     """
 
-    record: Record | None = None  # begins the recording of a connection
+    record: StartRecording | None = None  # begins the recording of a connection
 
     def __init__(
-        self, settings: Settings, handler: RequestHandler, max_connections: int, bounds: Bounds
+        self, settings: Settings, handler: RequestHandler, max_connections: int, bounds: MemoryBounds
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.handler = handler
         self.max_connections = max_connections
-        self.max_unwritten_bytes = bounds.answers
-        self.buffer_budget = Allowance(bounds.buffers)
+        self.max_unwritten_bytes = bounds.unread_reply_bytes
+        self.buffer_budget = MemoryBudget(bounds.buffer_growth_bytes)
         self.session = ClientSession(request_classes_by_name(settings), tenants_by_name(settings))
         self.connections: dict[ClientConnection, None] = {}
         self.unwritten_bytes = 0
@@ -53,7 +53,7 @@
         self.leaving = False
         self.terminated_at: float | None = None
         self.kill_after = limits.KILL_GRACE_S + longest_deadline(settings)  # s after SIGTERM
-        self.accepting = Pending()
+        self.accepting = PendingOperation()
         self.acceptor: asyncio.Task[None] | None = None  # the task that accepts
         self.broken_count = 0
         self.broken_logged_at = -limits.BROKEN_LOG_INTERVAL_S
@@ -67,7 +67,7 @@
         Raises:
             OSError: The address can't be listened on.
         """
-        self.listener = opened(address)
+        self.listener = open_socket(address)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
         self.listener.listen(limits.LISTEN_BACKLOG)
@@ -77,9 +77,9 @@
         self.acceptor = asyncio.current_task()
         while self.listener:
             try:
-                sock, _ = await self.accepting.of(self.loop.sock_accept(self.listener))
+                sock, _ = await self.accepting.run(self.loop.sock_accept(self.listener))
             except OSError as error:
-                say("accept_failed", logging.WARNING, why=error)
+                log_kv("accept_failed", logging.WARNING, why=error)
                 await asyncio.sleep(limits.ACCEPT_RETRY_S)
                 continue
             await self.wait_for_room(self.welcome(sock))
@@ -148,7 +148,7 @@
         self.unwritten_bytes += size
         if self.unwritten_bytes > self.max_unwritten_bytes:
             worst = max(self.connections, key=lambda connection: len(connection.unwritten))
-            say("client_cut", logging.WARNING, why="too many bytes owed", owed=self.unwritten_bytes)
+            log_kv("client_cut", logging.WARNING, why="too many bytes owed", owed=self.unwritten_bytes)
             self.close_soon(worst)
 
     def report_broken(self, reason: str) -> None:
@@ -156,7 +156,7 @@
         self.broken_count += 1
         if self.loop.time() >= self.broken_logged_at + limits.BROKEN_LOG_INTERVAL_S:
             self.broken_logged_at = self.loop.time()
-            say("client_broken", logging.WARNING, why=reason, so_far=self.broken_count)
+            log_kv("client_broken", logging.WARNING, why=reason, so_far=self.broken_count)
 
     def close_soon(self, connection: ClientConnection) -> None:
         """Close it, but not amid what is being done to it."""
--- a/gatebank/proxy/downstream/replies.py
+++ b/gatebank/proxy/downstream/replies.py
@@ -44,7 +44,7 @@
     def on_client_disconnect(self, reply: ReplySink) -> None:
         """The client has gone: nobody reads the answer."""
 
-    def abandon_reply(self, reply: ReplySink) -> None:
+    def fail_reply(self, reply: ReplySink) -> None:
         """The connection must end: the final answer is due now."""
 
 
--- a/gatebank/proxy/http.py
+++ b/gatebank/proxy/http.py
@@ -11,7 +11,7 @@
 
 from gatebank.errors import GatebankError
 from gatebank.proxy.configuration import Address
-from gatebank.proxy.sockets import opened, waiting
+from gatebank.proxy.sockets import open_socket, peek_receive_state
 
 MAX_BODY_BYTES = 8 * 1024 * 1024  # an endpoint list of some ten thousand
 READ_BYTES = 16 * 1024
@@ -27,7 +27,7 @@
 
     def __init__(self, reason: str, arrived: bool) -> None:
         super().__init__(reason)
-        self.arrived = arrived
+        self.may_have_arrived = arrived
 
 
 class HttpReply(NamedTuple):
@@ -37,7 +37,7 @@
     body: bytes
 
 
-class HttpCaller:
+class HttpClient:
     """Calls one address; owns a socket and a buffer. `close` gives both back, and every failure calls it.
 
     The on_ methods are httptools' callbacks.
@@ -84,16 +84,16 @@
         Raises:
             NoReplyError: There is no whole answer.
         """
-        arrived = False
+        request_sent = False
         try:
             async with asyncio.timeout(limit):
                 await self.send(method, target, form)
-                arrived = True
+                request_sent = True
                 while not self.done:
                     await self.read()
         except TimeoutError:
             self.close()
-            raise NoReplyError("no answer in time", arrived) from None
+            raise NoReplyError("no answer in time", request_sent) from None
         except BaseException:  # also a cancellation: what is half read can't be used again
             self.close()
             raise
@@ -138,7 +138,9 @@
         self.body = []
         self.done = False
         self.messages_begun = 0
-        if self.sock and waiting(self.sock):  # it ended, or holds what this request did not ask for
+        if self.sock and peek_receive_state(
+            self.sock
+        ):  # it ended, or holds what this request did not ask for
             self.close()
         try:
             sock = await self.open()
@@ -158,7 +160,7 @@
     async def open(self) -> socket.socket:
         """The connection; a new one where none was kept."""
         if not self.sock:
-            self.sock = opened(self.address)
+            self.sock = open_socket(self.address)
             await self.loop.sock_connect(self.sock, self.address)
         return self.sock
 
--- a/gatebank/proxy/log.py
+++ b/gatebank/proxy/log.py
@@ -11,7 +11,7 @@
 LOG = logging.getLogger("gatebank")
 
 
-def say(event: str, level: int = logging.INFO, **keys: object) -> None:
+def log_kv(event: str, level: int = logging.INFO, **keys: object) -> None:
     """Log an event with its keys."""
     log_event(event, keys, level)
 
@@ -26,10 +26,10 @@
     LOG.exception("fault", extra={"keys": keys})
 
 
-def worded(value: object) -> str:
+def format_value(value: object) -> str:
     r"""A value as it stands in a line; quoted where it would not read as one word.
 
-    >>> worded(0.25), worded("cut"), worded('no "such" node')
+    >>> format_value(0.25), format_value("cut"), format_value('no "such" node')
     ('0.25', 'cut', '"no \\"such\\" node"')
     """
     text = f"{value:.4g}" if isinstance(value, float) else str(value)
@@ -40,7 +40,7 @@
     return f'"{printable}"'
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """Formats a record as key=value, with time, level and event first."""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -52,11 +52,11 @@
         }
         keys |= getattr(record, "keys", {})
         if record.exc_info and record.exc_info[1]:
-            keys |= {"trouble": record.exc_info[1], "place": place(record.exc_info[1])}
-        return " ".join(f"{name}={worded(value)}" for name, value in keys.items())
+            keys |= {"trouble": record.exc_info[1], "place": innermost_location(record.exc_info[1])}
+        return " ".join(f"{name}={format_value(value)}" for name, value in keys.items())
 
 
-def place(error: BaseException) -> str:
+def innermost_location(error: BaseException) -> str:
     """File and line of the innermost frame."""
     trace = error.__traceback__
     while trace and trace.tb_next:
@@ -100,8 +100,8 @@
         return fits
 
 
-def begin(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Log to standard error from this level on: debug, info, warning or error."""
     handler = NonBlockingHandler(sys.stderr.fileno())
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=level.upper(), force=True)
--- a/gatebank/proxy/peer_transport.py
+++ b/gatebank/proxy/peer_transport.py
@@ -12,7 +12,7 @@
 from gatebank import peer_messages
 from gatebank.peer_messages import PeerMessage
 from gatebank.proxy.configuration import Address
-from gatebank.proxy.sockets import opened
+from gatebank.proxy.sockets import open_socket
 
 MAX_DATAGRAMS_AT_ONCE = 64  # taken before others get their turn
 
@@ -52,7 +52,7 @@
         self.dropped = 0
         self.loop = asyncio.get_running_loop()
         self.buffer = bytearray(peer_messages.MAX_MESSAGE_BYTES + 1)  # one more shows what is too long
-        self.sock = opened(listen, socket.SOCK_DGRAM)
+        self.sock = open_socket(listen, socket.SOCK_DGRAM)
         try:
             self.sock.bind(listen)
         except OSError:
--- a/gatebank/proxy/release_messages.py
+++ b/gatebank/proxy/release_messages.py
@@ -13,7 +13,7 @@
 
 from gatebank.errors import GatebankError
 from gatebank.events import Phase, ReleaseStatus, ReplyStatus
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 
 MAX_EVENT_BYTES = 16 * 1024  # of one event; what is longer is none of the release service's
 MIN_AGE_S = -10.0  # exclusive: clocks may differ by a little
@@ -118,10 +118,10 @@
             return replace(max(states, key=lambda state: state.build or 0), is_vote_reply=True)
         code = next((element.text for element in tree.iter("Code")), tree.text)
     except (ParseError, DefusedXmlException, ReleaseStatusError, ValueError, LookupError) as error:
-        say("desk_unread", logging.WARNING, why=error)
+        log_kv("desk_unread", logging.WARNING, why=error)
         return ReleaseStatus(ReplyStatus.TIMED_OUT, True)
     if code not in EXPECTED_REFUSALS:
-        say("vote_refused", logging.WARNING, status=status, code=code)
+        log_kv("vote_refused", logging.WARNING, status=status, code=code)
     return ReleaseStatus(REFUSALS.get(code or "", ReplyStatus.TIMED_OUT), True)
 
 
--- a/gatebank/proxy/release_service.py
+++ b/gatebank/proxy/release_service.py
@@ -17,8 +17,8 @@
 from gatebank.events import ReleaseStatus, ReplyStatus, Verdict
 from gatebank.proxy.configuration import Address
 from gatebank.proxy.discovery import EndpointRegistry
-from gatebank.proxy.http import HttpCaller, NoReplyError
-from gatebank.proxy.log import say
+from gatebank.proxy.http import HttpClient, NoReplyError
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.release_messages import (
     EventParser,
     ReleaseStatusError,
@@ -27,7 +27,7 @@
     parse_vote_reply,
     progress,
 )
-from gatebank.proxy.sockets import WatchTurn
+from gatebank.proxy.sockets import WatchLease
 
 VOTE_PATH = "/v2/projects/main/"
 STREAM_PATH = "/v2/projects/main/stream"
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        where: Address | None,
+        address: Address | None,
         registry: EndpointRegistry,
         vote_timeout: float,
         clock: Callable[[], float],
@@ -69,7 +69,7 @@
         *,
         request_classes: Container[str],
     ) -> None:
-        self.where = where
+        self.address = address
         self.registry = registry
         self.vote_timeout = vote_timeout
         self.clock = clock
@@ -78,7 +78,7 @@
         self.latest: LatestStatus | None = None
         self.votes: set[asyncio.Task[None]] = set()  # each goes with its reply
 
-    def take(self, status: ReleaseStatus) -> None:
+    def accept_status(self, status: ReleaseStatus) -> None:
         """Pass a status on; what is older than what was passed on before is replaced by that.
 
         Stream and votes come by two connections. A status' age does not tell which is the newer, as it was
@@ -88,7 +88,7 @@
             began = self.clock() - status.age
             latest = self.latest or LatestStatus(status, began)
             if progress(status) < progress(latest.status):
-                say("desk_overtaken", build=status.build, stage=status.stage)
+                log_kv("desk_overtaken", build=status.build, stage=status.stage)
                 age = self.clock() - latest.began
                 status = replace(latest.status, is_vote_reply=status.is_vote_reply, age=age)
             else:
@@ -101,11 +101,11 @@
 
     def vote(self, vote: CastVote) -> None:
         """Cast a vote; its one reply comes by ``on_status``, never before this returns."""
-        if not self.where or len(self.votes) >= MAX_VOTES:
+        if not self.address or len(self.votes) >= MAX_VOTES:
             failed = ReleaseStatus(ReplyStatus.UNAVAILABLE, True)
-            asyncio.get_running_loop().call_soon(self.take, failed)
+            asyncio.get_running_loop().call_soon(self.accept_status, failed)
             return
-        task = asyncio.ensure_future(self.cast(self.where, vote))
+        task = asyncio.ensure_future(self.cast(self.address, vote))
         self.votes.add(task)
         task.add_done_callback(self.votes.discard)
 
@@ -113,21 +113,23 @@
         """Cast one vote on a connection of its own: none can meet one that is just closing."""
         opinion = OPINIONS[vote.verdict]
         form = f"Action=PutApproval&image={vote.build}&ring={vote.stage}&opinion={opinion}"
-        caller = HttpCaller(where)
+        caller = HttpClient(where)
         try:
             reply = await caller.call("POST", VOTE_PATH, self.vote_timeout, form)
             status = parse_vote_reply(reply.status, reply.body)
         except NoReplyError as error:
-            say("vote_lost", logging.WARNING, why=error, arrived=error.arrived)
-            status = ReleaseStatus(ReplyStatus.TIMED_OUT if error.arrived else ReplyStatus.UNAVAILABLE, True)
+            log_kv("vote_lost", logging.WARNING, why=error, arrived=error.may_have_arrived)
+            status = ReleaseStatus(
+                ReplyStatus.TIMED_OUT if error.may_have_arrived else ReplyStatus.UNAVAILABLE, True
+            )
         finally:
             caller.close()
-        say("vote_answer", build=vote.build, verdict=vote.verdict.log_name, heard=status.reply.value)
-        self.take(status)
+        log_kv("vote_answer", build=vote.build, verdict=vote.verdict.log_name, heard=status.reply.value)
+        self.accept_status(status)
 
     # The stream.
 
-    async def watch(self, where: Address, turn: WatchTurn) -> None:
+    async def watch(self, where: Address, turn: WatchLease) -> None:
         """Follow the stream, for ever: begun again when it ends, breaks or falls silent.
 
         Once another turn takes over, it is not begun again.
@@ -137,20 +139,20 @@
         while True:
             parser = EventParser()
             try:
-                async with aclosing(HttpCaller(where).stream(STREAM_PATH, STREAM_SILENCE_S)) as stream:
+                async with aclosing(HttpClient(where).stream(STREAM_PATH, STREAM_SILENCE_S)) as stream:
                     async for part in stream:
                         for event in parser.feed(part):
                             if is_lost:
-                                say("desk_back")
+                                log_kv("desk_back")
                             is_lost = False
                             delay = MIN_RECONNECT_S
                             self.take_event(event)
-                            turn.begins()
+                            turn.on_first_message()
             except (NoReplyError, ReleaseStatusError, ValueError) as error:
-                if turn.over:
+                if turn.is_superseded:
                     return
                 if not is_lost:
-                    say("desk_lost", logging.WARNING, why=error)
+                    log_kv("desk_lost", logging.WARNING, why=error)
                 is_lost = True
             await asyncio.sleep(delay)
             delay = min(2 * delay, MAX_RECONNECT_S)
@@ -164,15 +166,15 @@
         """
         fields = dict(parse_qsl(event.data))
         if event.name == "ROLLOUT":
-            self.take(parse_status(fields))
+            self.accept_status(parse_status(fields))
         elif event.name == "DISPUTE":
             # No evidence: few answers are disputed, and some of them by mistake.
             float(fields.get("lag_ms", 0))
             is_listed = fields.get("host", "") in self.registry.indices
             if not is_listed or fields.get("type", "") not in self.request_classes:
-                say("desk_unread", logging.WARNING, why="a dispute of nobody known")
+                log_kv("desk_unread", logging.WARNING, why="a dispute of nobody known")
         else:
-            say("desk_unknown", logging.WARNING, name=event.name)
+            log_kv("desk_unknown", logging.WARNING, name=event.name)
 
     def close(self) -> None:
         """End the votes that are out."""
@@ -188,4 +190,4 @@
 def log_stage(status: ReleaseStatus) -> None:
     """Log a state that is new."""
     phase = status.phase.log_name if status.phase is not None else ""
-    say("stage", build=status.build, stage=status.stage, phase=phase, cap=status.cap, age=status.age)
+    log_kv("stage", build=status.build, stage=status.stage, phase=phase, cap=status.cap, age=status.age)
--- a/gatebank/proxy/requests.py
+++ b/gatebank/proxy/requests.py
@@ -9,7 +9,7 @@
 from gatebank.proxy.messages import ClientRequest
 from gatebank.proxy.upstream.attempt import Attempt
 
-ROW_BYTES = 2048  # that a request in flight takes besides its own, about
+REQUEST_OVERHEAD_BYTES = 2048  # that a request in flight takes besides its own, about
 
 
 class RequestInFlight:
@@ -25,8 +25,15 @@
     """
 
     __slots__ = (
-        "answered", "attempts", "attempts_out", "client_request", "deadline", "number", "reply", "size",
+        "answered",
+        "attempts",
+        "client_request",
+        "deadline",
+        "number",
+        "reply",
+        "size",
         "timer",
+        "undelivered_results",
     )  # fmt: skip
 
     def __init__(self, number: int, client_request: ClientRequest, reply: ReplySink, deadline: float) -> None:
@@ -34,9 +41,9 @@
         self.client_request = client_request
         self.reply = reply
         self.deadline = deadline
-        self.size = client_request.size + ROW_BYTES
+        self.size = client_request.size + REQUEST_OVERHEAD_BYTES
         self.attempts: list[Attempt | None] = []
-        self.attempts_out = 0
+        self.undelivered_results = 0
         self.answered = False
         self.timer: asyncio.TimerHandle | None = None
 
@@ -68,7 +75,7 @@
 
     def has_room(self, client_request: ClientRequest) -> bool:
         """One more request as large fits the bound."""
-        return self.size_bytes + client_request.size + ROW_BYTES <= self.max_bytes
+        return self.size_bytes + client_request.size + REQUEST_OVERHEAD_BYTES <= self.max_bytes
 
     def add(self, client_request: ClientRequest, reply: ReplySink, deadline: float) -> RequestInFlight:
         """Give a request a number and a row."""
@@ -87,7 +94,7 @@
 
     def settle(self, request: RequestInFlight) -> None:
         """Drop the request's row, if it is answered and none of its attempts is out."""
-        if request.answered and not request.attempts_out and self.rows.get(request.number) is request:
+        if request.answered and not request.undelivered_results and self.rows.get(request.number) is request:
             del self.rows[request.number]
             self.free_numbers.append(request.number)
             self.size_bytes -= request.size
--- a/gatebank/proxy/resp2/codec.py
+++ b/gatebank/proxy/resp2/codec.py
@@ -28,9 +28,9 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from gatebank.proxy.buffers import Allowance, ProtocolError
+from gatebank.proxy.buffers import MemoryBudget, ProtocolError
 
-__all__ = ["MAX_VALUE", "Allowance", "Inbox", "ProtocolError", "Reply", "bulk", "bulks", "command"]
+__all__ = ["MAX_VALUE", "Inbox", "MemoryBudget", "ProtocolError", "Reply", "bulk", "bulks", "command"]
 
 MAX_VALUE = 64 * 1024  # bytes a value may hold: PROTOCOL; nodes are seen to give more
 MAX_VALUES = 16  # in one message; the protocol's longest has five
@@ -69,11 +69,11 @@
         needs: Bytes that the message begun last needs to be whole, as far as they are known.
     """
 
-    def __init__(self, allowance: Allowance | None = None, max_value: int = MAX_VALUE) -> None:
+    def __init__(self, allowance: MemoryBudget | None = None, max_value: int = MAX_VALUE) -> None:
         self.max_value = max_value
         self.max_size = max_value + MAX_LINE * 4
         self.data: bytearray | bytes = bytearray(INITIAL_ROOM)
-        self.allowance = allowance or Allowance(self.max_size)
+        self.allowance = allowance or MemoryBudget(self.max_size)
         self.taken = 0  # of the allowance
         self.start = 0
         self.end = 0
@@ -99,17 +99,17 @@
 
     def close(self) -> None:
         """Give back what was taken of the allowance."""
-        self.allowance.left += self.taken
+        self.allowance.available += self.taken
         self.taken = 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where the next read goes; ends the life of all slices given out.
 
         Raises:
             ProtocolError: A message does not fit what is allowed.
         """
         assert isinstance(self.data, bytearray), "nothing is read into an inbox over bytes"
-        held = self.held
+        held = self.incomplete_bytes
         if not held and len(self.data) > INITIAL_ROOM:
             self.data = bytearray(INITIAL_ROOM)
             self.close()
@@ -121,28 +121,28 @@
             if held >= self.max_size:
                 raise ProtocolError("a message is too long")
             more = min(held, self.max_size - held) + MIN_ROOM - (len(self.data) - held)
-            if not self.allowance.take(more):
+            if not self.allowance.reserve(more):
                 raise ProtocolError("no room for a message so long")
             self.taken += more
             self.data = self.data + bytearray(more)
         return memoryview(self.data)[held:]
 
-    def filled(self, size: int) -> None:
+    def commit(self, size: int) -> None:
         """Count bytes that were read into `room`."""
         self.end += size
 
     @property
-    def held(self) -> int:
+    def incomplete_bytes(self) -> int:
         """Bytes of a message that is not whole yet."""
         return self.end - self.start
 
     def put(self, data: bytes) -> None:
         """Copy bytes in, as if they were read."""
         while data:
-            room = self.room()
+            room = self.free_space()
             size = min(len(room), len(data))
             room[:size] = data[:size]
-            self.filled(size)
+            self.commit(size)
             data = data[size:]
 
     def line(self, at: int, max_length: int = MAX_LINE) -> tuple[int, int] | None:
@@ -198,7 +198,7 @@
     def values_so_far(self) -> list[bytes]:
         """The whole words of a command that is not whole."""
         found: list[bytes] = []
-        if self.held and (count := self.size(self.start, 0, MAX_VALUES)):
+        if self.incomplete_bytes and (count := self.size(self.start, 0, MAX_VALUES)):
             at = count[1]
             try:
                 while len(found) < count[0] and (bulk := self.bulk(at, 0)):
--- a/gatebank/proxy/resp2/session.py
+++ b/gatebank/proxy/resp2/session.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping, Sequence
 
-from gatebank.proxy.buffers import Allowance
+from gatebank.proxy.buffers import MemoryBudget
 from gatebank.proxy.messages import ClientRequest, CommandError, EndpointReply, RequestClassRef
 from gatebank.proxy.resp2 import codec
 from gatebank.proxy.resp2.commands import REQUEST_COMMANDS, command_name, parse_request
@@ -31,7 +31,7 @@
         self.classes = classes
         self.tenants = tenants
 
-    def buffer(self, budget: Allowance) -> codec.Inbox:
+    def buffer(self, budget: MemoryBudget) -> codec.Inbox:
         """The buffer of a new connection."""
         return codec.Inbox(budget)
 
@@ -81,7 +81,7 @@
     def __init__(self, report_fields: Sequence[str]) -> None:
         self.report_fields = [REPORT_FIELD_NAMES.get(name, name) for name in report_fields]
 
-    def buffer(self, budget: Allowance, max_value: int) -> codec.Inbox:
+    def buffer(self, budget: MemoryBudget, max_value: int) -> codec.Inbox:
         """The buffer of a new connection, for values of so many bytes at most."""
         return codec.Inbox(budget, max_value)
 
--- a/gatebank/proxy/service.py
+++ b/gatebank/proxy/service.py
@@ -40,7 +40,7 @@
 from gatebank.proxy.discovery import EndpointRegistry
 from gatebank.proxy.dispatcher import Dispatcher
 from gatebank.proxy.downstream import Downstream
-from gatebank.proxy.log import LOG, log_event, say
+from gatebank.proxy.log import LOG, log_event, log_kv
 from gatebank.proxy.peer_transport import PeerTransport
 from gatebank.proxy.release_service import ReleaseService
 from gatebank.proxy.sockets import ConnectionRecording
@@ -56,17 +56,17 @@
 class OptionalPart(Protocol):
     """A part that is switched on by the operators' file; its counts stand in the line on how things stand."""
 
-    def standing(self) -> Mapping[str, int | str]:
+    def status_counts(self) -> Mapping[str, int | str]:
         """Its counts, by the log line's keys."""
 
 
 class ConnectionRecorder(OptionalPart, Protocol):
     """Records connections; without delay to them."""
 
-    def clients(self, sock: socket.socket) -> ConnectionRecording | None:
+    def record_client(self, sock: socket.socket) -> ConnectionRecording | None:
         """The recording of a client's connection; None if that side is not recorded."""
 
-    def nodes(self, sock: socket.socket) -> ConnectionRecording | None:
+    def record_endpoint(self, sock: socket.socket) -> ConnectionRecording | None:
         """The recording of a connection to an endpoint; None if that side is not recorded."""
 
     def stop(self) -> None:
@@ -116,7 +116,7 @@
         self.optional_parts = optional_parts
         self.registry = EndpointRegistry(settings)
         self.dispatcher = Dispatcher(
-            settings, configuration.seed, clock, self.registry, configuration.bounds.commands
+            settings, configuration.seed, clock, self.registry, configuration.bounds.request_bytes
         )
         self.release_service = ReleaseService(
             configuration.release_service,
@@ -128,7 +128,7 @@
         )
         descriptors = configuration.descriptors - RESERVED_DESCRIPTORS
         bounds = configuration.bounds
-        self.upstream = Upstream(settings, descriptors // 2, bounds.buffers)
+        self.upstream = Upstream(settings, descriptors // 2, bounds.buffer_growth_bytes)
         self.downstream = Downstream(settings, self.dispatcher, descriptors - descriptors // 2, bounds)
         self.dispatcher.upstream = self.upstream
         self.dispatcher.release_service = self.release_service
@@ -157,11 +157,11 @@
             self.handle_signals(reloader)
             self.listen()
             if not self.state_transfer:
-                self.watches.move(self.configuration, version)
+                self.watches.update_addresses(self.configuration, version)
             self.start_tasks(stack, reloader)
             gc.collect()
             gc.freeze()  # what stands from the start need not be looked at again
-            say("ready", name=self.configuration.name, nodes=len(self.dispatcher.fleet.endpoints))
+            log_kv("ready", name=self.configuration.name, nodes=len(self.dispatcher.fleet.endpoints))
             await self.terminated.wait()
             await self.shut_down()
 
@@ -172,8 +172,8 @@
         self.recorder = self.optional_parts.make_recorder(self.configuration)
         if self.recorder:
             stack.callback(self.recorder.stop)
-            self.downstream.record = self.recorder.clients
-            self.upstream.record = self.recorder.nodes
+            self.downstream.record = self.recorder.record_client
+            self.upstream.record = self.recorder.record_endpoint
         self.open_peer_transport(stack)
         stack.callback(self.release_service.close)
         stack.callback(self.upstream.close)
@@ -202,7 +202,7 @@
     def apply_initial_knowledge(self) -> int | None:
         """Give the balancer what the configuration says; returns the endpoint list's version."""
         knowledge = read_initial_knowledge(self.configuration, self.registry)
-        self.dispatcher.start(knowledge.endpoints, knowledge.status)
+        self.dispatcher.apply_initial_knowledge(knowledge.endpoints, knowledge.status)
         return knowledge.version
 
     async def inherit_state(self, stack: AsyncExitStack, version: int | None) -> None:
@@ -212,7 +212,7 @@
             stack.callback(self.state_transfer.close)
         stack.callback(self.watches.close)
         if self.state_transfer:
-            self.watches.move(self.configuration, version)
+            self.watches.update_addresses(self.configuration, version)
             await self.state_transfer.begin()
 
     def handle_signals(self, reloader: Reloader) -> None:
@@ -249,9 +249,9 @@
             self.upstream.sweep()
             sweeps += 1
             if sweeps % SWEEPS_PER_STATUS_LINE == 0 or LOG.isEnabledFor(logging.DEBUG):
-                self.log_standing()
+                self.log_status_line()
 
-    def log_standing(self) -> None:
+    def log_status_line(self) -> None:
         """Log how things stand; on-call tools read these keys."""
         dispatcher = self.dispatcher
         peers = dispatcher.peer_transport
@@ -261,8 +261,8 @@
         if test := dispatcher.balancer.state.test:
             counts["trial"] = f"{test.build}/{test.sums.stage}"
             counts["sums"] = str([round(total, 1) for total in test.sums.fused])
-        for part in self.switched_on():
-            counts.update(part.standing())
+        for part in self.enabled_parts():
+            counts.update(part.status_counts())
         log_event(
             "standing",
             {
@@ -273,7 +273,7 @@
                 "node_connections": self.upstream.open_count,
                 "node_connections_peak": self.upstream.peak_count,
                 "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-                "lag": round(dispatcher.lag, 3),
+                "lag": round(dispatcher.max_timer_lag, 3),
                 "node_connections_opened": self.upstream.opened_total,
                 "words_told": peers.sent if peers else 0,
                 "words_heard": peers.received if peers else 0,
@@ -281,9 +281,9 @@
                 **counts,
             },
         )
-        dispatcher.lag = 0.0
+        dispatcher.max_timer_lag = 0.0
 
-    def switched_on(self) -> Sequence[OptionalPart]:
+    def enabled_parts(self) -> Sequence[OptionalPart]:
         """The optional parts that there are."""
         return [part for part in (self.recorder, self.state_transfer) if part]
 
@@ -291,12 +291,12 @@
 
     async def shut_down(self) -> None:
         """The steps at SIGTERM; the module's head gives their order."""
-        say("leaving", in_hand=len(self.dispatcher.requests))
+        log_kv("leaving", in_hand=len(self.dispatcher.requests))
         await self.downstream.leave()
-        self.log_standing()
+        self.log_status_line()
         if self.state_transfer:
             await self.state_transfer.finish()
-        say("gone", in_hand=len(self.dispatcher.requests))
+        log_kv("gone", in_hand=len(self.dispatcher.requests))
 
 
 async def run_service(
--- a/gatebank/proxy/sockets.py
+++ b/gatebank/proxy/sockets.py
@@ -19,21 +19,21 @@
 class ConnectionRecording(Protocol):
     """Who hears of a connection that is recorded: side 0 opened it and asks, side 1 replies."""
 
-    def asked(self, data: bytes, comment: str = "") -> None:
+    def record_request_bytes(self, data: bytes, comment: str = "") -> None:
         """Bytes of side 0."""
 
-    def replied(self, data: bytes, comment: str = "") -> None:
+    def record_reply_bytes(self, data: bytes, comment: str = "") -> None:
         """Bytes of side 1."""
 
-    def ended(self, side: int, abrupt: bool = False, comment: str = "") -> None:
+    def record_end(self, side: int, abrupt: bool = False, comment: str = "") -> None:
         """The connection ended, by this side."""
 
 
 # Begins the recording of a connection that has come up; None where that side is not recorded.
-Record = Callable[[socket.socket], ConnectionRecording | None]
+StartRecording = Callable[[socket.socket], ConnectionRecording | None]
 
 
-def opened(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
+def open_socket(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
     """Open a socket that blocks nobody and, for a stream, holds no small message back.
 
     Raises:
@@ -46,7 +46,7 @@
     return sock
 
 
-def give_back(sock: socket.socket, *tasks: asyncio.Task[None] | None) -> None:
+def cancel_and_close(sock: socket.socket, *tasks: asyncio.Task[None] | None) -> None:
     """Cancel the tasks that read and write, but the caller itself, and only then close the socket."""
     for task in tasks:
         if task and task is not asyncio.current_task():
@@ -54,7 +54,7 @@
     sock.close()
 
 
-class Pending:
+class PendingOperation:
     """An operation on a socket that a task waits for, one at a time.
 
     The loop ends it as the socket becomes ready, but the task goes on only later, and what runs in between
@@ -73,7 +73,7 @@
         return self.future is not None and self.future.done()
 
     @coroutine
-    def of(self, operation: Coroutine[Any, Any, Result]) -> Generator[Any, Any, Result]:
+    def run(self, operation: Coroutine[Any, Any, Result]) -> Generator[Any, Any, Result]:
         """Await the operation: what it waits for is handed on, and kept in sight."""
         steps = operation.__await__()
         try:
@@ -92,7 +92,7 @@
             self.future = None
 
 
-class WatchTurn:
+class WatchLease:
     """Who watches one address of a control plane service.
 
     What that address has written to this instance counts as received (PROTOCOL), so a turn ends only with the
@@ -102,20 +102,20 @@
         over: The next turn has begun: this one lasts only as long as its connection.
     """
 
-    __slots__ = ("over", "previous", "task")
+    __slots__ = ("is_superseded", "previous", "task")
 
-    previous: WatchTurn | None
+    previous: WatchLease | None
 
-    def __init__(self, previous: WatchTurn | None = None) -> None:
+    def __init__(self, previous: WatchLease | None = None) -> None:
         while previous and previous.task and previous.task.done():
             previous = previous.previous
         self.previous = previous
-        self.over = False
+        self.is_superseded = False
         self.task: asyncio.Future[None] | None = None
         if previous:
-            previous.over = True
+            previous.is_superseded = True
 
-    def begins(self) -> None:
+    def on_first_message(self) -> None:
         """The first message has come from here: the turns before are over for good."""
         if self.previous:
             self.previous.close()
@@ -125,10 +125,10 @@
         """End this turn and those before."""
         if self.task:
             self.task.cancel()
-        self.begins()
+        self.on_first_message()
 
 
-def hung_up(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """The other side has ended its sending or the connection is broken, whatever lies unread before that."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
@@ -138,7 +138,7 @@
 SIOCOUTQNSD = 0x894B  # linux/sockios.h: bytes in the send queue that have not been sent, in an int
 
 
-def unsent(sock: socket.socket) -> bool:
+def has_unsent_bytes(sock: socket.socket) -> bool:
     """Bytes written to it wait here, as the other side has no room for them.
 
     A close forgets them as soon as one byte comes that nobody reads. Where the system does not say, none are.
@@ -149,7 +149,7 @@
         return False
 
 
-def waiting(sock: socket.socket) -> int:
+def peek_receive_state(sock: socket.socket) -> int:
     """Look without reading: 1 if bytes wait to be read, 0 if none, -1 if the connection has ended."""
     try:
         return 1 if sock.recv(1, socket.MSG_PEEK) else -1
--- a/gatebank/proxy/started_attempt.py
+++ b/gatebank/proxy/started_attempt.py
@@ -29,7 +29,7 @@
         until: Clock time at which it is given up.
     """
 
-    __slots__ = ("cap", "dispatcher", "endpoint", "number", "request", "started", "until")
+    __slots__ = ("cap", "deadline", "dispatcher", "endpoint", "number", "request", "started")
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         number: int,
         endpoint: Endpoint,
         started: float,
-        until: float,
+        deadline: float,
     ) -> None:
         self.dispatcher = dispatcher
         self.request = request
@@ -47,19 +47,19 @@
         self.endpoint = endpoint
         self.cap = dispatcher.fleet.cap(endpoint.build)
         self.started = started
-        self.until = until
+        self.deadline = deadline
 
     def payload(self) -> bytes | None:
         """Its bytes; None if it waited for a connection while what it was chosen on fell away."""
         dispatcher = self.dispatcher
         now = dispatcher.clock()
-        if not self.endpoint_still_fits() or self.request.answered or now >= self.until:
+        if not self.endpoint_still_fits() or self.request.answered or now >= self.deadline:
             return None
         if now > self.started + IMMEDIATE_S and not dispatcher.may_still_start(
             self.request, self.number, now
         ):
             return None
-        return self.request.client_request.command(self.until - now)
+        return self.request.client_request.command(self.deadline - now)
 
     def endpoint_still_fits(self) -> bool:
         """It is listed with the build it was chosen for, takes requests, and its build's cap did not fall."""
--- a/gatebank/proxy/stream.py
+++ b/gatebank/proxy/stream.py
@@ -10,7 +10,7 @@
 import socket
 
 from gatebank.proxy.buffers import ReceiveBuffer
-from gatebank.proxy.sockets import ConnectionRecording, Pending, give_back, waiting
+from gatebank.proxy.sockets import ConnectionRecording, PendingOperation, cancel_and_close, peek_receive_state
 
 
 class Stream:
@@ -25,7 +25,7 @@
     """
 
     reader: asyncio.Task[None]
-    inbox: ReceiveBuffer
+    receive_buffer: ReceiveBuffer
 
     def __init__(
         self,
@@ -36,10 +36,10 @@
     ) -> None:
         self.loop = loop
         self.sock = sock
-        self.inbox = inbox
+        self.receive_buffer = inbox
         self.recording = recording
-        self.reading = Pending()
-        self.handling = False
+        self.reading = PendingOperation()
+        self.is_handling_read = False
         self.closed = False
         self.writer: asyncio.Task[None] | None = None
 
@@ -48,19 +48,19 @@
 
         They may be in the kernel, in a read that ended before its task went on, or in the buffer.
         """
-        return self.is_being_read() or waiting(self.sock) != 0
+        return self.is_being_read() or peek_receive_state(self.sock) != 0
 
     def is_being_read(self) -> bool:
         """Tell whether a read has ended whose bytes are not used up yet."""
-        return self.handling or self.reading.done
+        return self.is_handling_read or self.reading.done
 
-    def received(self, size: int) -> bytes | None:
+    def account_read(self, size: int) -> bytes | None:
         """Account for a read of ``size`` bytes; returns a copy of them where the connection is recorded."""
-        self.handling = True
-        self.inbox.filled(size)
+        self.is_handling_read = True
+        self.receive_buffer.commit(size)
         if self.recording is None:
             return None
-        return bytes(self.inbox.data[self.inbox.end - size : self.inbox.end])
+        return bytes(self.receive_buffer.data[self.receive_buffer.end - size : self.receive_buffer.end])
 
     def release(self, peer_side: int, comment: str = "") -> None:
         """Give back buffer memory, tasks and socket.
@@ -69,8 +69,8 @@
             peer_side: The other end's side in a recording: 0 opened the connection, 1 accepted it.
             comment: For the recording.
         """
-        self.inbox.close()
+        self.receive_buffer.close()
         if self.recording:
-            ended_by_peer = waiting(self.sock) < 0
-            self.recording.ended(peer_side if ended_by_peer else 1 - peer_side, comment=comment)
-        give_back(self.sock, self.reader, self.writer)
+            ended_by_peer = peek_receive_state(self.sock) < 0
+            self.recording.record_end(peer_side if ended_by_peer else 1 - peer_side, comment=comment)
+        cancel_and_close(self.sock, self.reader, self.writer)
--- a/gatebank/proxy/upstream/connection.py
+++ b/gatebank/proxy/upstream/connection.py
@@ -14,9 +14,9 @@
 
 from gatebank.events import Outcome
 from gatebank.proxy.buffers import ProtocolError
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import EndpointReply
-from gatebank.proxy.sockets import waiting
+from gatebank.proxy.sockets import peek_receive_state
 from gatebank.proxy.stream import Stream
 from gatebank.proxy.upstream.attempt import Attempt
 
@@ -63,7 +63,7 @@
             return True
         attempt.written = sent == len(data)
         if self.recording:
-            self.recording.asked(data[:sent], attempt.label)
+            self.recording.record_request_bytes(data[:sent], attempt.label)
         if not attempt.written:
             self.writer = asyncio.ensure_future(self.write_rest(attempt, data[sent:]))
         return True
@@ -80,7 +80,7 @@
             attempt.written = True
             await self.loop.sock_sendall(self.sock, rest[-1:])
             if self.recording:
-                self.recording.asked(rest)
+                self.recording.record_request_bytes(rest)
             self.writer = None
         except OSError:
             self.close()
@@ -92,19 +92,19 @@
                 size = await self.receive()
                 if not size:
                     break
-                recorded = self.received(size)
+                recorded = self.account_read(size)
                 if self.recording and recorded is not None:
-                    self.recording.replied(recorded)
+                    self.recording.record_reply_bytes(recorded)
                 self.handle_replies()
                 if not self.attempt and not self.closed:
                     if self.ended_behind_answer():
                         break
-                    self.handling = False
+                    self.is_handling_read = False
                     self.pool.rest(self)
-                self.handling = False
+                self.is_handling_read = False
         except ProtocolError as error:
             idle = {} if self.attempt else {"idle": time.monotonic() - self.idle_since}
-            say("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle)
+            log_kv("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle)
         except OSError:
             pass
         finally:
@@ -117,13 +117,13 @@
         not wait out its time limit. No read is given up for that: one that ended as the time did would leave
         a hole in the answer.
         """
-        room = self.inbox.room()
+        room = self.receive_buffer.free_space()
         timer = None
-        if self.inbox.held:
+        if self.receive_buffer.incomplete_bytes:
             patience = ANSWER_SILENCE_FACTOR * self.pool.upstream.connect_timeout
             timer = self.loop.call_later(patience, self.on_answer_silent)
         try:
-            return await self.reading.of(self.loop.sock_recv_into(self.sock, room))
+            return await self.reading.run(self.loop.sock_recv_into(self.sock, room))
         finally:
             if timer:
                 timer.cancel()
@@ -131,7 +131,7 @@
     def on_answer_silent(self) -> None:
         """Close on an answer that stopped half way."""
         if not self.closed and not self.has_unread():  # else it has come, and this process was late
-            say("node_broken", logging.WARNING, node=self.pool.name, why="an answer stopped half way")
+            log_kv("node_broken", logging.WARNING, node=self.pool.name, why="an answer stopped half way")
             self.close()
 
     def handle_replies(self) -> None:
@@ -153,10 +153,10 @@
         Raises:
             ProtocolError: More came than one answer.
         """
-        behind = waiting(self.sock)
+        behind = peek_receive_state(self.sock)
         if behind < 0:
             return True
-        if self.inbox.held or behind:
+        if self.receive_buffer.incomplete_bytes or behind:
             raise ProtocolError("more came than one answer")
         return False
 
--- a/gatebank/proxy/upstream/pools.py
+++ b/gatebank/proxy/upstream/pools.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from gatebank.events import Outcome
-from gatebank.proxy.buffers import Allowance
-from gatebank.proxy.log import say
+from gatebank.proxy.buffers import MemoryBudget
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import EndpointReply
 from gatebank.proxy.resp2.session import EndpointSession
-from gatebank.proxy.sockets import Record, opened
+from gatebank.proxy.sockets import StartRecording, open_socket
 from gatebank.proxy.upstream.attempt import Attempt, EndpointKey
 from gatebank.proxy.upstream.connection import EndpointConnection
 from gatebank.proxy.upstream.pool import REST_S, ConnectionPool
@@ -33,7 +33,7 @@
         buffer_bytes: What all receive buffers may grow by together.
     """
 
-    record: Record | None = None  # begins the recording of a connection
+    record: StartRecording | None = None  # begins the recording of a connection
 
     def __init__(
         self, settings: Settings, max_connections: int, buffer_bytes: int = DEFAULT_BUFFER_BYTES
@@ -43,7 +43,7 @@
         connect_timeout = limits.connect_timeout
         self.loop = asyncio.get_running_loop()
         self.max_connections = max_connections
-        self.buffer_budget = Allowance(buffer_bytes)
+        self.buffer_budget = MemoryBudget(buffer_bytes)
         # Endpoints give values beyond PROTOCOL's 64 KiB: what memory allows is taken.
         self.max_value = max(EndpointSession.max_value, buffer_bytes // VALUES_AT_ONCE)
         self.pools: dict[EndpointKey, ConnectionPool] = {}  # emptied as endpoints leave the list
@@ -107,7 +107,7 @@
             if pool.idle:
                 self.loop.call_later(REST_S, pool.on_rested)
         else:
-            say("no_descriptor", logging.WARNING, open=self.open_count)
+            log_kv("no_descriptor", logging.WARNING, open=self.open_count)
             attempt.finish(EndpointReply(Outcome.NOT_SENT))
 
     def check_health(
@@ -123,7 +123,7 @@
         address = pool.key.address
         sock = None
         try:
-            sock = opened(address)
+            sock = open_socket(address)
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.sock_connect(sock, address)
         except BaseException as error:  # also a cancellation: the descriptor is given back in each case
--- a/gatebank/recording/output.py
+++ b/gatebank/recording/output.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.recording.packet_writer import file_header
 from gatebank.recording.rotation import FileRotation, StoredFile
 
@@ -99,7 +99,7 @@
     def _fail(self, now: float, error: OSError) -> None:
         self.close()
         if not self.has_failed:
-            say("recording_failed", logging.ERROR, folder=self._folder, why=error.strerror or error)
+            log_kv("recording_failed", logging.ERROR, folder=self._folder, why=error.strerror or error)
         self.has_failed = True
         self.retry_at = now + self._next_retry
         self._next_retry = min(2 * self._next_retry, MAX_RETRY)
@@ -121,7 +121,7 @@
             (self._folder / removed).unlink(missing_ok=True)
         if self.has_failed:
             not_recorded = self._counts.not_recorded
-            say("recording", folder=self._folder, again=True, not_recorded=not_recorded)
+            log_kv("recording", folder=self._folder, again=True, not_recorded=not_recorded)
         self.has_failed = False
         self._next_retry = FIRST_RETRY
 
--- a/gatebank/recording/recorder.py
+++ b/gatebank/recording/recorder.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.recording.errors import RecordingError
 from gatebank.recording.output import RecordingCounts, RecordingOutput
 from gatebank.recording.packet_writer import ConnectionEnds, ConnectionWriter
@@ -97,15 +97,15 @@
         self._recorder = recorder
         recorder.put(self, EventKind.OPENED, 0)
 
-    def asked(self, data: bytes, comment: str = "") -> None:
+    def record_request_bytes(self, data: bytes, comment: str = "") -> None:
         """Bytes of who opened the connection: a client, or this instance to an endpoint."""
         self._recorder.put(self, EventKind.DATA, 0, data, comment)
 
-    def replied(self, data: bytes, comment: str = "") -> None:
+    def record_reply_bytes(self, data: bytes, comment: str = "") -> None:
         """Bytes of who accepted the connection."""
         self._recorder.put(self, EventKind.DATA, 1, data, comment)
 
-    def ended(self, side: int, abrupt: bool = False, comment: str = "") -> None:
+    def record_end(self, side: int, abrupt: bool = False, comment: str = "") -> None:
         """One side ended the connection; ``abrupt``: by a reset."""
         kind = EventKind.RESET if abrupt else EventKind.CLOSED
         self._recorder.put(self, kind, side, b"", comment)
@@ -179,24 +179,24 @@
             raise RecordingError("folder", self._folder, str(error.strerror)) from error
         sys.setswitchinterval(SWITCH_INTERVAL)
         self._thread.start()
-        say("recording", folder=self._folder, sides=",".join(sorted(self._sides)))
+        log_kv("recording", folder=self._folder, sides=",".join(sorted(self._sides)))
 
     def stop(self) -> None:
         """Writes what is queued, within STOP_TIMEOUT."""
         self._stopping.set()
         self._thread.join(STOP_TIMEOUT)
 
-    def standing(self) -> dict[str, int | str]:
+    def status_counts(self) -> dict[str, int | str]:
         """The counters for the log line on how things stand."""
         return asdict(self.counts) | {"recorder": "failed" if self.output.has_failed else "writing"}
 
     # The service's side: none of this waits.
 
-    def clients(self, sock: socket.socket) -> RecordedConnection | None:
+    def record_client(self, sock: socket.socket) -> RecordedConnection | None:
         """A client's connection that was accepted; None if that side is not recorded."""
         return self._connection("customer", lambda: (sock.getpeername(), sock.getsockname()))
 
-    def nodes(self, sock: socket.socket) -> RecordedConnection | None:
+    def record_endpoint(self, sock: socket.socket) -> RecordedConnection | None:
         """A connection to an endpoint; None if that side is not recorded."""
         return self._connection("node", lambda: (sock.getsockname(), sock.getpeername()))
 
@@ -269,7 +269,7 @@
         except Exception as error:  # a fault with one connection must not cost the others their recording
             del blocks[size_before:]
             self._writers.pop(event.connection, None)
-            say("recorder_fault", logging.ERROR, why=repr(error))
+            log_kv("recorder_fault", logging.ERROR, why=repr(error))
             return False
         return True
 
--- a/gatebank/replay/guard.py
+++ b/gatebank/replay/guard.py
@@ -13,7 +13,7 @@
 
 from gatebank.capture.records import BODY, Exchange
 from gatebank.events import RetrySafety
-from gatebank.proxy.configuration import Address, address
+from gatebank.proxy.configuration import Address, parse_address
 from gatebank.replay.entries import NameState
 from gatebank.replay.errors import TargetRefusedError
 from gatebank.replay.identity import request_names
@@ -73,7 +73,7 @@
     >>> normalize_address("127.0.0.1:6379"), normalize_address("[0:0::1]:80")
     ('127.0.0.1:6379', '[::1]:80')
     """
-    return address_text(address(text, "address"))
+    return address_text(parse_address(text, "address"))
 
 
 def address_text(host_and_port: Address) -> str:
--- a/gatebank/replay/inside.py
+++ b/gatebank/replay/inside.py
@@ -17,7 +17,7 @@
 from gatebank.proxy.control_plane import ControlPlaneWatches, read_initial_knowledge
 from gatebank.proxy.discovery import EndpointRegistry
 from gatebank.proxy.dispatcher import Dispatcher
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import CommandError, request_classes_by_name, tenants_by_name
 from gatebank.proxy.release_service import ReleaseService
 from gatebank.proxy.requests import RequestInFlight
@@ -82,7 +82,7 @@
         if len(allowed) < len(endpoints):
             left_out = len(endpoints) - len(allowed)
             self.left_out += left_out
-            say("live_nodes_left_out", nodes=left_out)
+            log_kv("live_nodes_left_out", nodes=left_out)
         super().on_endpoint_list(allowed, is_complete)
 
 
@@ -102,12 +102,12 @@
         clock = Clock()
         registry = EndpointRegistry(settings)
         dispatcher = RehearsalDispatcher(
-            settings, configuration.seed, clock, registry, configuration.bounds.commands
+            settings, configuration.seed, clock, registry, configuration.bounds.request_bytes
         )
         dispatcher.live = live
         self._dispatcher = dispatcher
         max_connections = (configuration.descriptors - RESERVED_DESCRIPTORS) // 2
-        self._upstream = Upstream(settings, max_connections, configuration.bounds.buffers)
+        self._upstream = Upstream(settings, max_connections, configuration.bounds.buffer_growth_bytes)
         dispatcher.upstream = self._upstream
         self._request_classes = request_classes_by_name(settings)
         self._tenants = tenants_by_name(settings)
@@ -121,9 +121,9 @@
         )
         dispatcher.release_service = self._release_service
         endpoints, version, status = read_initial_knowledge(configuration, registry)
-        dispatcher.start(endpoints, status)
+        dispatcher.apply_initial_knowledge(endpoints, status)
         self._watches = ControlPlaneWatches(dispatcher, registry, self._release_service)
-        self._watches.move(configuration, version)
+        self._watches.update_addresses(configuration, version)
         self._sweeper = asyncio.ensure_future(run_forever("sweep", self._sweep))
 
     async def ready(self, patience: float = 10.0) -> bool:
@@ -145,7 +145,7 @@
             client_request = parse_request(words, self._request_classes, self._tenants)
         except CommandError as error:
             self._player.report.counts["senseless"] += 1
-            say("senseless", why=error)
+            log_kv("senseless", why=error)
             self._player.finish(request, ReplayOutcome.NEVER_SENT)
             return
         slot = ResponseSlot(self, request)
@@ -166,7 +166,7 @@
         """See `RequestTransport.give_up`: as a client that closes its connection."""
         slot = self._slots.pop(request, None)
         if slot and slot.request and not slot.request.answered:
-            self._dispatcher.forget(slot.request, "left")
+            self._dispatcher.drop_request(slot.request, "left")
 
     def close(self) -> None:
         """See `RequestTransport.close`."""
--- a/gatebank/replay/section.py
+++ b/gatebank/replay/section.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from gatebank.operator_config.sections import Section
-from gatebank.proxy.configuration import ConfigurationError, address
+from gatebank.proxy.configuration import ConfigurationError, parse_address
 
 
 class Target(Section, kw_only=True, frozen=True):
@@ -33,7 +33,7 @@
     def check(self) -> Iterator[tuple[str, str]]:
         """Fields that do not go together, and why."""
         try:
-            address(self.address, "address")
+            parse_address(self.address, "address")
         except ConfigurationError as error:
             yield "address", error.reason
         if self.keeps_tickets and not self.rehearsal:
--- a/gatebank/replay/sockets.py
+++ b/gatebank/replay/sockets.py
@@ -15,7 +15,7 @@
 from gatebank.capture.records import Exchange
 from gatebank.proxy.configuration import Address
 from gatebank.proxy.resp2 import codec as resp
-from gatebank.proxy.sockets import give_back, opened
+from gatebank.proxy.sockets import cancel_and_close, open_socket
 from gatebank.replay.player import Player
 from gatebank.replay.requests import ReplayedRequest, ReplayOutcome
 
@@ -92,7 +92,7 @@
         self._bytes_taken = 0  # by the system
         self._is_up = False
         self._is_closed = False
-        self._socket = opened(transport.address)
+        self._socket = open_socket(transport.address)
         self._writing: asyncio.Task[None] | None = None
         self._task = asyncio.ensure_future(self._run())
 
@@ -129,7 +129,7 @@
         if self._writing:  # how much has left of the part being written is not known: as if all had
             self.on_taken(min(len(self._buffer), WRITE_BYTES))
         self._transport.forget(self)
-        give_back(self._socket, self._task, self._writing)
+        cancel_and_close(self._socket, self._task, self._writing)
         unsent = {each.request for each in self.unsent}
         while self._requests:
             request = self._requests.popleft()
@@ -181,12 +181,12 @@
 
     async def _read_responses(self) -> None:
         inbox = resp.Inbox(None, MAX_VALUE_BYTES)
-        inbox.allowance = resp.Allowance(2 * MAX_VALUE_BYTES)
+        inbox.allowance = resp.MemoryBudget(2 * MAX_VALUE_BYTES)
         while not self._is_closed:
-            size = await self._player.loop.sock_recv_into(self._socket, inbox.room())
+            size = await self._player.loop.sock_recv_into(self._socket, inbox.free_space())
             if not size:
                 return
-            inbox.filled(size)
+            inbox.commit(size)
             for reply in inbox.replies():
                 if not self._requests:
                     raise resp.ProtocolError("an answer to nothing")
--- a/gatebank/state_transfer/background_tasks.py
+++ b/gatebank/state_transfer/background_tasks.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 
 
 class BackgroundTasks:
@@ -33,7 +33,7 @@
         """Forgets a task, and logs an exception: whatever can come is handled in the task itself."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            say("learning_fault", logging.ERROR, why=repr(error))
+            log_kv("learning_fault", logging.ERROR, why=repr(error))
 
     def cancel(self) -> None:
         """Cancels all tasks; they end in the next turns of the event loop."""
--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -7,7 +7,7 @@
 
 from gatebank.keys.tls_stream import TlsStream
 from gatebank.proxy.configuration import Address
-from gatebank.proxy.sockets import opened
+from gatebank.proxy.sockets import open_socket
 
 RECEIVE_BYTES = 64 * 1024  # of one read: a part
 # Seconds for a connection to be established, and as long again for its handshake: peers are on one network.
@@ -29,7 +29,7 @@
     @classmethod
     def to(cls, where: Address, tls: TlsStream | None) -> Connection:
         """Returns an unconnected one of the address's family; `connect` follows."""
-        return cls(opened(where), tls)
+        return cls(open_socket(where), tls)
 
     async def connect(self, where: Address, seconds: float = CONNECT_TIMEOUT) -> None:
         """Connects, and does the handshake.
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 from gatebank.proxy.dispatcher import Dispatcher
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.state_transfer.index_names import IndexNames, Origin
 from gatebank.state_transfer.inherited_knowledge import InheritedKnowledge, release_status
 from gatebank.state_transfer.items import ReleaseReport, StateItem
@@ -101,5 +101,7 @@
         if status and status.build is not None and status.phase is not None:
             own = OwnRelease(status.build, int(status.phase), status.cap)
         if tighter := strictly_tighter(report, own):
-            say("learnt_news", logging.WARNING, build=tighter.build, phase=tighter.phase, by=tighter.origin)
+            log_kv(
+                "learnt_news", logging.WARNING, build=tighter.build, phase=tighter.phase, by=tighter.origin
+            )
             self.dispatcher.on_release_status(release_status(tighter))
--- a/gatebank/state_transfer/peer_keys.py
+++ b/gatebank/state_transfer/peer_keys.py
@@ -11,7 +11,7 @@
 from gatebank.keys.section import KeysSection
 from gatebank.keys.tls_stream import TlsStream
 from gatebank.proxy.configuration import ConfigurationError
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 
 
 class PeerKeys:
@@ -47,7 +47,7 @@
         """
         reason = self.reloadable.rejection(tls.peer_name, tls.peer_serial, frozenset(allowed))
         if reason:
-            say("peer_refused", logging.WARNING, peer=tls.peer_name or "?", why=reason)
+            log_kv("peer_refused", logging.WARNING, peer=tls.peer_name or "?", why=reason)
         return reason
 
     def reload(self) -> None:
@@ -55,9 +55,9 @@
         earlier_error = self.reloadable.error
         if self.reloadable.reload():
             keys = self.reloadable.keys
-            say("keys", name=keys.name, until=f"{keys.instance.end:%Y-%m-%d}")
+            log_kv("keys", name=keys.name, until=f"{keys.instance.end:%Y-%m-%d}")
         elif self.reloadable.error and self.reloadable.error != earlier_error:
-            say("keys_failed", logging.ERROR, why=self.reloadable.error)
+            log_kv("keys_failed", logging.ERROR, why=self.reloadable.error)
 
     async def watch(self) -> None:
         """Reloads keys as they change, and warns of certificates that end soon, once for each."""
@@ -66,7 +66,7 @@
             warning = "; ".join(self.reloadable.keys.expiry_warnings(datetime.now(UTC)))
             # The text counts down the days: before the first colon it names the certificate.
             if warning and warning.partition(":")[0] != warned.partition(":")[0]:
-                say("keys_expire", logging.WARNING, what=warning)
+                log_kv("keys_expire", logging.WARNING, what=warning)
             warned = warning
             await asyncio.sleep(self.watch_interval)
             self.reload()
--- a/gatebank/state_transfer/receiver.py
+++ b/gatebank/state_transfer/receiver.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from gatebank.proxy.configuration import address
-from gatebank.proxy.log import say
+from gatebank.proxy.configuration import parse_address
+from gatebank.proxy.log import log_kv
 from gatebank.state_transfer.background_tasks import BackgroundTasks
 from gatebank.state_transfer.connection import Connection
 from gatebank.state_transfer.items import InvalidItemError
@@ -90,7 +90,7 @@
             async with asyncio.timeout(self.patience):
                 await self.may_serve.wait()
         except TimeoutError:
-            say("learning_late", logging.WARNING, waited=self.patience)
+            log_kv("learning_late", logging.WARNING, waited=self.patience)
 
     def connect(self, connections: list[ConnectToSource]) -> None:
         """Starts the attempts that the selector asked for."""
@@ -119,17 +119,17 @@
         """Logs a transfer that did not fail, and goes on as it ended."""
         now = self.loop.time()
         if result.retry_after is not None:
-            say("donor_busy", donor=source, back_in=result.retry_after)
+            log_kv("donor_busy", donor=source, back_in=result.retry_after)
             self.connect(self.selector.on_failed(source, now, result.retry_after))
             return
         self.completed += 1
-        say("learnt", donor=source, items=result.new_items)
+        log_kv("learnt", donor=source, items=result.new_items)
         self.connect(self.selector.on_received(source, now))
 
     def log_failure(self, source: str, reason: str) -> None:
         """Counts and logs a failed attempt."""
         self.failed += 1
-        say("donor_failed", logging.WARNING, donor=source, why=reason)
+        log_kv("donor_failed", logging.WARNING, donor=source, why=reason)
 
     async def transfer(self, source: str) -> TransferResult:
         """Receives a source's state; what came before a failure has been merged.
@@ -138,7 +138,7 @@
             TransferProtocolError, InvalidItemError: the source is not to be asked again.
             OSError: it failed; TimeoutError and ssl.SSLError are such.
         """
-        where = address(source, "donor")
+        where = parse_address(source, "donor")
         tls = self.keys.tls(is_server=False) if self.keys else None
         new_items = 0
         with contextlib.closing(Connection.to(where, tls)) as connection:
--- a/gatebank/state_transfer/section.py
+++ b/gatebank/state_transfer/section.py
@@ -10,7 +10,7 @@
 from msgspec import field
 
 from gatebank.operator_config.sections import Section
-from gatebank.proxy.configuration import ConfigurationError, address
+from gatebank.proxy.configuration import ConfigurationError, parse_address
 from gatebank.state_transfer.weighting import HalfLives
 
 HalfLife = Annotated[float, msgspec.Meta(gt=0, le=86400)]  # seconds, up to a day
@@ -99,7 +99,7 @@
         """Yields which of a field's addresses are none, or need TLS."""
         for each in addresses:
             try:
-                host, _ = address(each, name)
+                host, _ = parse_address(each, name)
             except ConfigurationError as error:
                 yield name, error.reason
                 continue
--- a/gatebank/state_transfer/session.py
+++ b/gatebank/state_transfer/session.py
@@ -108,7 +108,7 @@
         self.source.close()
         self.tasks.cancel()
 
-    def standing(self) -> dict[str, int | str]:
+    def status_counts(self) -> dict[str, int | str]:
         """Returns the counters of the log's `standing` line, by their names there."""
         return {
             "learnt": self.state.received,
--- a/gatebank/state_transfer/snapshot_store.py
+++ b/gatebank/state_transfer/snapshot_store.py
@@ -7,7 +7,7 @@
 import time
 from pathlib import Path
 
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.state_transfer import snapshot
 from gatebank.state_transfer.local_state import LocalState
 
@@ -43,7 +43,7 @@
             self.folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
             loaded = snapshot.load_newest(self.folder, self.state.deployment, time.time(), self.max_age, boot)
         except (snapshot.SnapshotError, OSError) as error:
-            say("snapshot_refused", logging.WARNING, why=error)
+            log_kv("snapshot_refused", logging.WARNING, why=error)
             return
         header = loaded.header
         self.turn = loaded.slot + 1
@@ -53,7 +53,7 @@
         own = header.name == self.state.name
         self.state.inherited.window_known = header.at_shutdown and own and exact
         new_items = self.state.receive(loaded.items)
-        say("snapshot", items=new_items, age=time.time() - header.at, closed=header.at_shutdown)
+        log_kv("snapshot", items=new_items, age=time.time() - header.at, closed=header.at_shutdown)
         self.state.merge()
 
     async def write_regularly(self) -> None:
@@ -87,7 +87,7 @@
                 await asyncio.to_thread(snapshot.write_snapshot, self.folder, self.turn, data)
             except OSError as error:
                 if self.last_error != str(error):
-                    say("snapshot_failed", logging.ERROR, folder=self.folder, why=error.strerror)
+                    log_kv("snapshot_failed", logging.ERROR, folder=self.folder, why=error.strerror)
                 self.last_error = str(error)
                 return
             self.turn += 1
--- a/gatebank/state_transfer/source.py
+++ b/gatebank/state_transfer/source.py
@@ -8,9 +8,9 @@
 import socket
 from typing import TYPE_CHECKING
 
-from gatebank.proxy.configuration import ConfigurationError, address
-from gatebank.proxy.log import say
-from gatebank.proxy.sockets import opened
+from gatebank.proxy.configuration import ConfigurationError, parse_address
+from gatebank.proxy.log import log_kv
+from gatebank.proxy.sockets import open_socket
 from gatebank.state_transfer.background_tasks import BackgroundTasks
 from gatebank.state_transfer.connection import Connection
 from gatebank.state_transfer.items import InvalidItemError, split_into_parts
@@ -69,8 +69,8 @@
         """
         if not self.listen_address:
             return
-        where = address(self.listen_address, "learning: listen")
-        self.listener = opened(where)
+        where = parse_address(self.listen_address, "learning: listen")
+        self.listener = open_socket(where)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             self.listener.bind(where)
@@ -95,7 +95,7 @@
             try:
                 sock, _ = await self.loop.sock_accept(listener)
             except OSError as error:
-                say("accept_failed", logging.WARNING, why=error)
+                log_kv("accept_failed", logging.WARNING, why=error)
                 await asyncio.sleep(ACCEPT_PAUSE)
                 continue
             sock.setblocking(False)
@@ -115,7 +115,7 @@
                 async with asyncio.timeout(TRANSFER_TIMEOUT):
                     await self.answer(connection)
         except (OSError, TransferProtocolError, InvalidItemError) as error:
-            say("learner_failed", why=str(error) or type(error).__name__)
+            log_kv("learner_failed", why=str(error) or type(error).__name__)
 
     async def answer(self, connection: Connection) -> None:
         """Waits for what a receiver asks, and sends the state or refuses."""
@@ -128,7 +128,7 @@
                 return
             messages = conversation.feed(data)
             ask = next((message for message in messages if isinstance(message, Ask)), None)
-        retry_after = self.limiter.admit(self.loop.time(), self.state.dispatcher.lag)
+        retry_after = self.limiter.admit(self.loop.time(), self.state.dispatcher.max_timer_lag)
         if retry_after is not None:
             refusal = encode_frame(FrameKind.REFUSE, Refusal(retry_after=retry_after))
             await connection.send(conversation.hello() + refusal)
@@ -157,7 +157,7 @@
             part_count += 1
         await connection.send(encode_frame(FrameKind.END, End(part_count=part_count)))
         peer = conversation.peer
-        say("taught", learner=peer.name if peer else "?", parts=part_count, bytes=sent_bytes)
+        log_kv("taught", learner=peer.name if peer else "?", parts=part_count, bytes=sent_bytes)
 
     async def encoded_parts(self) -> list[bytes]:
         """Returns the frames of all that is known, encoded in slices so that clients are served between."""
