--- a/gatebank/proxy/control_plane_view.py
+++ b/gatebank/proxy/control_plane_view.py
@@ -1,4 +1,4 @@
-"""What the control plane said last: the endpoint list, and how far the newest build may go."""
+"""Latest state from the control plane: the endpoint list and the release status of the newest build."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ControlPlaneView:
-    """The endpoints and the release status as told last.
+    """The endpoints and the release status as last received.
 
     Attributes:
-        endpoints: By index; none that is gone.
-        keys: Which process each of them is, by index.
-        release_status: None before the first.
+        endpoints: Endpoints by index, without those that are gone.
+        keys: Keys that identify the process of each endpoint, by index.
+        release_status: None until the first status is received.
     """
 
     def __init__(self, registry: EndpointRegistry) -> None:
@@ -25,7 +25,7 @@
         self.release_status: ReleaseStatus | None = None
 
     def update(self, endpoints: Iterable[Endpoint], is_complete: bool) -> None:
-        """Take the endpoint list, or what has changed of it."""
+        """Apply a complete endpoint list or a change to it."""
         current = {} if is_complete else dict(self.endpoints)
         for endpoint in endpoints:
             current[endpoint.index] = endpoint
@@ -35,12 +35,12 @@
         self.keys = {index: self.key(endpoint) for index, endpoint in self.endpoints.items()}
 
     def key(self, endpoint: Endpoint) -> EndpointKey:
-        """Which process a listed endpoint is."""
+        """Return the key that identifies the process of a listed endpoint."""
         address = self.registry.addresses[endpoint.index]
         return EndpointKey(endpoint.index, address, endpoint.build, endpoint.started)
 
     def cap(self, build: int) -> float:
-        """The share of traffic that a build may take: below 1 for the newest before it is released."""
+        """Return the share of traffic a build may receive; below 1 for the newest build until release."""
         status = self.release_status
         if status and status.build == build and status.phase is not Phase.RELEASED:
             return status.cap or 0.0
--- a/gatebank/proxy/discovery.py
+++ b/gatebank/proxy/discovery.py
@@ -1,7 +1,6 @@
-"""Discovery: watches the endpoint list, and reads its entries.
+"""Client of the discovery service: watches the endpoint list and parses its entries.
 
-A watch owns one connection to discovery at a time; the tables from names to small indices are the
-`EndpointRegistry`'s.
+A watch owns one connection to discovery at a time. `EndpointRegistry` maps endpoint names to small indices.
 """
 
 from __future__ import annotations
@@ -25,34 +24,42 @@
 from gatebank.settings import Settings
 
 WATCH_PATH = "/discovery/hosts"
-WATCH_WAIT_S = 2.0  # that a watch may wait: an outage shows this soon; PROTOCOL allows 60
-ANSWER_LATE_S = 1.0  # that an answer may come after that wait before the connection is held dead
-MIN_RETRY_DELAY_S = 0.1  # before a new try: within the 0.2 s in which a watch goes on
-# Calls a second of all instances together where calls cost discovery. When 40 instances tried again after
-# 0.1 s, it answered 15 and refused 25, at 240 calls a second, to the end of the day; where they began with
-# 2 s it answered all within 5 s, with 0.5 s within 13 s (herd+vast, a play each).
+# Time for which discovery may hold a watch call open. The protocol allows 60 s; a short wait detects an
+# outage within this time.
+WATCH_WAIT_S = 2.0
+# Time that a reply may take beyond WATCH_WAIT_S before the connection is considered dead.
+REPLY_GRACE_S = 1.0
+MIN_RETRY_DELAY_S = 0.1  # Delay before a retry; below the 0.2 s within which a watch has to continue.
+# Target rate of calls per second from all instances together, when each call puts load on discovery. When 40
+# instances retried after 0.1 s (240 calls per second), discovery answered 15 and refused 25 until the end of
+# the run. With an initial delay of 2 s it answered all of them within 5 s, and with 0.5 s within 13 s
+# (scenario herd+vast, one run each).
 FLEET_CALLS_PER_S = 20
-MAX_RETRY_DELAY_S = 4.0  # half as much again by chance: what a list says counts as told 6 s later (PROTOCOL)
-DELAY_GROWTH = 1.5  # from one delay to the next
-MIN_FREE_INDICES = 256  # free before one is used again: more than a list changes while an attempt is out
-MAX_NUMBER = 1e15  # exclusive; above it a float is no whole number any more
+# Random jitter extends the delay by up to half. According to the protocol an instance counts as informed of a
+# list's contents 6 s after the list was published.
+MAX_RETRY_DELAY_S = 4.0
+DELAY_GROWTH = 1.5  # Factor from one retry delay to the next.
+# Number of free indices to keep before one is reused: more than a list changes while an attempt is
+# outstanding.
+MIN_FREE_INDICES = 256
+NUMBER_LIMIT = 1e15  # Exclusive upper bound; beyond it a float no longer represents whole numbers exactly.
 CONDITIONS = {"SERVING": Condition.READY, "DRAINING": Condition.DRAINING, "DELETED": Condition.GONE}
 NO_ADDRESS: Address = ("", 0)
 
 
 class EndpointListError(GatebankError):
-    """A listing of discovery can't be read; nothing of it was taken."""
+    """A listing from discovery cannot be parsed; none of its entries was applied."""
 
 
 class DiscoveryRefusedError(GatebankError):
-    """Discovery answered that it does not answer."""
+    """Discovery answered with an error status."""
 
 
 class EndpointList(NamedTuple):
-    """A listing of discovery.
+    """A parsed listing from discovery.
 
     Attributes:
-        is_complete: It is the whole list; else what has changed since the version before.
+        is_complete: True for the complete list, False for the changes since the previous version.
     """
 
     endpoints: list[Endpoint]
@@ -61,11 +68,11 @@
 
 
 class ListEntry(NamedTuple):
-    """One checked line of a listing, before it is given an index.
+    """One validated entry of a listing that has no endpoint index yet.
 
     Attributes:
         address: None for an endpoint that is gone.
-        started: Unix time in seconds; None if not listed.
+        started: Start time of the endpoint in Unix seconds; None if not listed.
     """
 
     name: str
@@ -80,10 +87,10 @@
 
 
 class EndpointRegistry:
-    """Small indices for endpoints' names, and where each stands.
+    """Maps endpoint names to small indices and addresses.
 
-    Emptied by `retain` as endpoints leave the list; an index is used again only after many others, when
-    nothing speaks of the old endpoint any more.
+    `retain` removes endpoints that have left the list. A freed index is reused only after MIN_FREE_INDICES
+    others were freed, when no attempt or message refers to the old endpoint any more.
 
     >>> registry = EndpointRegistry(Settings())
     >>> for name in range(2 * MIN_FREE_INDICES):
@@ -93,15 +100,15 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self.indices: dict[str, int] = {}  # by name
-        self.names: list[str] = []  # by index, likewise the addresses
+        self.indices: dict[str, int] = {}  # Indices by endpoint name.
+        self.names: list[str] = []  # Names and addresses are lists by index.
         self.addresses: list[Address] = []
-        self.free_indices: deque[int] = deque()  # the longest free first
+        self.free_indices: deque[int] = deque()  # The index that has been free longest comes first.
         self.machine_kinds: dict[str | None, int] = {name: index for index, name in enumerate(settings.kinds)}
         self.zones: dict[str | None, int] = {name: index for index, name in enumerate(settings.zones)}
 
     def index_of(self, name: str) -> int:
-        """The endpoint's index; a new one for a name that has none."""
+        """Return the endpoint's index, assigning one to an unknown name."""
         if name not in self.indices:
             if len(self.free_indices) <= MIN_FREE_INDICES:
                 self.free_indices.appendleft(len(self.names))
@@ -114,39 +121,41 @@
         return self.indices[name]
 
     def retain(self, listed: Container[int]) -> None:
-        """Free the indices of all endpoints that are not listed."""
+        """Free the indices of all endpoints that are not in ``listed``."""
         for name, index in list(self.indices.items()):
             if index not in listed:
                 del self.indices[name]
                 self.free_indices.append(index)
 
     def parse_list(self, listing: Mapping[str, Any]) -> EndpointList:
-        """Read a listing, checked whole before anything is changed by it.
+        """Parse a listing; all its entries are validated before the registry changes.
 
         Raises:
-            EndpointListError: It can't be read.
+            EndpointListError: The listing cannot be parsed.
         """
         try:
             is_complete = bool(listing.get("reset"))
             version = parse_version(listing["generation"])
             entries = [self.parse_entry(instance) for instance in listing["instances"]]
         except (KeyError, TypeError, ValueError, AttributeError, ConfigurationError) as error:
-            raise EndpointListError(f"a listing can't be read: {type(error).__name__} {error}") from error
+            raise EndpointListError(
+                f"the listing cannot be parsed: {type(error).__name__} {error}"
+            ) from error
         return EndpointList([self.register(entry) for entry in entries], is_complete, version)
 
     def parse_entry(self, instance: Mapping[str, Any]) -> ListEntry:
-        """Check one line of a listing; nothing is changed by it yet."""
+        """Validate one entry of a listing without changing the registry."""
         name = instance["instanceId"]
         condition = CONDITIONS[instance["lifecycle"]]
         started_ms = instance.get("startedAtMs") or 0
         weight = instance.get("weight", 1.0)
         cell = instance.get("cell") or 0
         build = instance.get("version_no") or 0
-        whole = all(type(number) is int and number >= 0 for number in (cell, build))
-        if not isinstance(name, str) or not name or not whole:
-            raise ValueError(f"{name!r} has no name, or a number that is none")
+        are_whole = all(type(number) is int and number >= 0 for number in (cell, build))
+        if not isinstance(name, str) or not name or not are_whole:
+            raise ValueError(f"{name!r}: instanceId is empty, or cell or version_no is invalid")
         if not (is_number(started_ms) and is_number(weight)):
-            raise ValueError(f"{name!r} has a number that is none")
+            raise ValueError(f"{name!r}: startedAtMs or weight is not a valid number")
         is_gone = condition is Condition.GONE and not instance.get("hostPort")
         return ListEntry(
             name=name,
@@ -161,7 +170,7 @@
         )
 
     def register(self, entry: ListEntry) -> Endpoint:
-        """Give an entry its index, and note its address."""
+        """Assign an index to an entry, and store its address."""
         index = self.index_of(entry.name)
         self.addresses[index] = entry.address or self.addresses[index]
         return Endpoint(
@@ -178,29 +187,30 @@
 
 
 def parse_version(value: object) -> int:
-    """The version of a listing.
+    """Return the version of a listing.
 
     Raises:
-        ValueError: It is no whole number.
+        ValueError: The version is not an integer.
     """
     if type(value) is not int:
-        raise ValueError(f"version {value!r}")
+        raise ValueError(f"generation {value!r} is not an integer")
     return value
 
 
 def is_number(value: object) -> bool:
-    """A number of JSON, neither negative nor beyond reason."""
-    return type(value) in (int, float) and 0 <= value < MAX_NUMBER  # type: ignore[operator]
+    """Return whether a JSON value is a number from 0 up to NUMBER_LIMIT."""
+    return type(value) in (int, float) and 0 <= value < NUMBER_LIMIT  # type: ignore[operator]
 
 
 class PollBackoff:
-    """How long an instance waits before it calls discovery again.
-
-    An agent on its own machine costs nothing, so it waits the same short time always. Discovery itself is
-    every instance's, and who is refused by it is one of many: all configured together begin with so many
-    calls a second, and fewer with each that fails, spread by chance. After silence the first try comes soon:
-    what broke may be this watch alone. Harmful where many are configured and few run: these then wait longer
-    than they need, 6 s at most.
+    """Computes the delay before the next call to discovery.
+
+    Calls to a discovery agent on the instance's own machine are cheap, so the delay is always the same short
+    time. A discovery service that all instances share may refuse many of them at once. The configured
+    instances together therefore start at FLEET_CALLS_PER_S calls per second and slow down with each failure,
+    with random jitter. After a call without a reply the first retry comes soon, because only this watch may
+    be affected. If many instances are configured and few run, the running ones wait longer than necessary,
+    but 6 s at most.
     """
 
     def __init__(self, settings: Settings, random: Random) -> None:
@@ -212,11 +222,18 @@
         self.delay = MIN_RETRY_DELAY_S
 
     def first_delay(self) -> float:
-        """Seconds before the first call: those that were killed together start together."""
+        """Return the seconds before the first call.
+
+        The delay is random, because instances that were killed together also start together.
+        """
         return self.random.uniform(0.0, self.min_refused_delay / 2) if self.is_shared else 0.0
 
     def delay_after_failure(self, refused: bool) -> float:
-        """Seconds before the next call, after one that failed."""
+        """Return the seconds before the next call after a failed one.
+
+        Args:
+            refused: True if discovery answered with an error, False if there was no usable reply.
+        """
         if not self.is_shared:
             return MIN_RETRY_DELAY_S
         delay = max(self.delay, self.min_refused_delay if refused else MIN_RETRY_DELAY_S)
@@ -224,105 +241,105 @@
         return delay * self.random.uniform(0.5, 1.5)
 
     def reset(self) -> None:
-        """A call was answered: the next that fails is the first again."""
+        """Reset the delay after a successful call."""
         self.delay = MIN_RETRY_DELAY_S
 
 
 class EndpointListener(Protocol):
-    """Who is told of the endpoint list: the dispatcher."""
+    """Receives endpoint lists; implemented by the dispatcher."""
 
     def on_endpoint_list(self, endpoints: list[Endpoint], is_complete: bool) -> None:
-        """The list, or what has changed of it."""
+        """Handle a complete list or a change to the list."""
 
     def on_watch_failed(self) -> None:
-        """Discovery does not answer."""
+        """Handle the first failed call after a successful one."""
 
-    def count(self, what: str) -> None:
-        """Count a call, or how it failed."""
+    def count(self, name: str) -> None:
+        """Increment the counter of a kind of call or failure."""
 
 
 class EndpointWatch:
-    """Asks for what is newer than ``version``, for ever; the last list stands while nothing comes.
+    """Polls discovery for changes since ``version``; the last list stays valid while no reply arrives.
 
     Args:
-        where: Discovery's address.
-        registry: Reads the listings.
-        listener: Is told of them.
-        version: Of the list that is known already; None: the whole list is asked for.
-        backoff: Delays between calls that fail.
-        turn: Once another takes over, this lasts only as long as its connection.
+        address: Address of discovery.
+        registry: Parses the listings.
+        listener: Receives the parsed listings.
+        version: Version of the endpoint list that is known already; None requests the complete list.
+        backoff: Determines the delays between failed calls.
+        lease: Once the lease is superseded, the watch ends with its connection.
     """
 
     def __init__(
         self,
-        where: Address,
+        address: Address,
         registry: EndpointRegistry,
         listener: EndpointListener,
         *,
         version: int | None,
         backoff: PollBackoff,
-        turn: WatchLease,
+        lease: WatchLease,
     ) -> None:
         self.registry = registry
         self.listener = listener
         self.version = version
         self.backoff = backoff
-        self.turn = turn
-        self.caller = HttpClient(where)
+        self.lease = lease
+        self.client = HttpClient(address)
         self.is_failing = False
 
     async def run(self) -> None:
-        """Watch until the turn is over."""
+        """Watch until the connection fails after the lease was superseded."""
         try:
             await asyncio.sleep(self.backoff.first_delay())
             while True:
                 try:
                     listing = await self.poll()
                 except (NoReplyError, DiscoveryRefusedError, EndpointListError, ValueError) as error:
-                    if self.turn.is_superseded:
+                    if self.lease.is_superseded:
                         return
                     refused = isinstance(error, DiscoveryRefusedError)
-                    self.note_failure(error, refused)
-                    self.caller.close()
+                    self.record_failure(error, refused)
+                    self.client.close()
                     await asyncio.sleep(self.backoff.delay_after_failure(refused))
                 else:
-                    self.take(listing)
+                    self.apply(listing)
         finally:
-            self.caller.close()
+            self.client.close()
 
     async def poll(self) -> EndpointList:
-        """One call.
+        """Make one call to discovery.
 
         Raises:
-            NoReplyError: There was no whole answer in time.
-            DiscoveryRefusedError: It was refused.
-            EndpointListError: The answer can't be read.
-            ValueError: The answer is no JSON.
+            NoReplyError: There was no complete reply in time.
+            DiscoveryRefusedError: Discovery answered with an error status.
+            EndpointListError: The reply cannot be parsed.
+            ValueError: The reply is not valid JSON.
         """
         target = WATCH_PATH
-        limit = ANSWER_LATE_S
+        timeout = REPLY_GRACE_S
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={WATCH_WAIT_S * 1000:.0f}"
-            limit += WATCH_WAIT_S
+            timeout += WATCH_WAIT_S
         self.listener.count("roll calls")
-        reply = await self.caller.call("GET", target, limit)
+        reply = await self.client.call("GET", target, timeout)
         if reply.status != 200:
             raise DiscoveryRefusedError(f"discovery answered {reply.status}")
         return self.registry.parse_list(orjson.loads(reply.body))
 
-    def note_failure(self, error: Exception, refused: bool) -> None:
-        """Say once that discovery is lost, and count each call that failed."""
+    def record_failure(self, error: Exception, refused: bool) -> None:
+        """Log the first of consecutive failures, and count each failed call."""
         if not self.is_failing:
             log_kv("roll_lost", logging.WARNING, why=error)
             self.listener.on_watch_failed()
         self.is_failing = True
         self.listener.count("roll refused" if refused else "roll unanswered")
 
-    def take(self, listing: EndpointList) -> None:
-        """Pass a listing on."""
+    def apply(self, listing: EndpointList) -> None:
+        """Pass a listing to the listener, and reset the failure state."""
         self.version = listing.version
         self.backoff.reset()
-        self.turn.on_first_message()
+        self.lease.on_first_message()
         if self.is_failing:
             log_kv("roll_back", version=listing.version)
         self.is_failing = False
--- a/gatebank/proxy/dispatcher.py
+++ b/gatebank/proxy/dispatcher.py
@@ -1,14 +1,15 @@
-"""Where alone downstream and upstream meet: owns the balancer and the requests in flight.
+"""The dispatcher: connects downstream, upstream and the balancer, and owns the requests in flight.
 
-Every event goes through the `EventQueue`: the balancer's clock is set, its method called and its actions
-carried out, in order, before the next event. What an action brings about at once (an attempt that can't be
-sent) waits for its turn.
+No other module connects the client side with the endpoint side. Every event passes through the `EventQueue`,
+which sets the balancer's clock, calls the balancer's method and executes the resulting actions in order
+before it handles the next event. An event that an action causes immediately (such as the result of an attempt
+that cannot be sent) is queued behind the current event.
 
 Invariants:
-    Each request has exactly one final answer (`Dispatcher.finish`, `abandon` and `on_attempt_result` all look
-    at ``answered`` first, and set it by `mark_answered` alone).
+    Each request has exactly one final answer. `Dispatcher.send_final_reply`, `fail_request` and
+    `on_attempt_result` all check ``answered`` first, and only `mark_answered` sets it.
     Each attempt has exactly one result (`upstream.Attempt.finish`).
-    A number is not used again before its request is settled (`requests.RequestTable.settle`).
+    A request number is not reused before its request is settled (`requests.RequestTable.settle`).
 """
 
 from __future__ import annotations
@@ -54,28 +55,28 @@
 from gatebank.proxy.upstream import Upstream
 from gatebank.settings import Settings
 
-DEFAULT_HEALTH_TIMEOUT_S = 1.0  # where the settings have no request class
+DEFAULT_HEALTH_TIMEOUT_S = 1.0  # Health check timeout when the settings define no request class.
 
 
 class Dispatcher:
-    """Turns what happens into the balancer's events, and its actions into bytes.
+    """Translates I/O into the balancer's events, and the balancer's actions into I/O.
 
-    ``upstream``, ``release_service`` and ``peer_transport`` are set before the first event.
+    ``upstream``, ``release_service`` and ``peer_transport`` must be set before the first event.
 
     Args:
         settings: The instance's settings.
-        seed: Of the balancer's chance.
-        clock: Unix time in seconds.
-        registry: Endpoints' names and addresses.
-        max_in_flight_bytes: Bound on requests in flight; beyond it they are rejected.
+        seed: Seed of the balancer's random number generator.
+        clock: Returns Unix time in seconds.
+        registry: Names and addresses of the endpoints.
+        max_in_flight_bytes: Memory limit for requests in flight; requests beyond the limit are rejected.
 
     Attributes:
-        dispatch: Gives the balancer an event in its turn.
-        requests: Those in flight.
-        fleet: What the control plane said last.
-        counts: Numbers of what happened, by the names that the log line on how things stand uses.
-        lag: Seconds that the latest timer came late since the last such line: this process did not get its
-            turn.
+        dispatch: Queues an event for the balancer.
+        requests: The requests in flight.
+        fleet: The latest endpoint list and release status.
+        counts: Event counters, keyed by the names used in the periodic status line (``event=standing``).
+        max_timer_lag: Largest delay, in seconds, with which a timer fired since the last status line. A large
+            value means that this process was not scheduled in time.
     """
 
     upstream: Upstream
@@ -99,35 +100,35 @@
         self.dispatch = self.events.dispatch
         self.fleet = ControlPlaneView(registry)
         self.requests = RequestTable(max_in_flight_bytes)
-        self.counts: dict[str, int] = {}  # as many as there are kinds of outcomes and answers
+        self.counts: dict[str, int] = {}  # Bounded by the number of kinds of outcomes and replies.
         self.max_timer_lag = 0.0
         objectives = [request_class.latency_objective for request_class in settings.request_classes]
         self.health_timeout = min(objectives, default=DEFAULT_HEALTH_TIMEOUT_S)
 
-    # Events, one at a time.
+    # Event handling.
 
     def fail_request_of(self, event: Event) -> None:
-        """An event failed: if it was about a request, that has its final answer now."""
+        """Fail the request that a failed event concerned, if there is one, so that it gets a final answer."""
         subject = event.arguments[0] if event.arguments else None
         if isinstance(subject, Request | RequestInFlight) and (request := self.requests.get(subject.number)):
             self.fail_request(request)
 
     def apply_initial_knowledge(self, endpoints: list[Endpoint] | None, status: ReleaseStatus | None) -> None:
-        """Begin with what was known before: the endpoint list, then the release service's status."""
+        """Apply the endpoint list, then the release status, that were known before the start."""
         if endpoints:
             self.on_endpoint_list(endpoints, True)
         if status:
             self.release_service.accept_status(status)
 
-    # Events of clients.
+    # Client events.
 
     def start_request(self, client_request: ClientRequest, reply: ReplySink) -> None:
-        """Take a request on; its final answer goes to ``reply``.
+        """Accept a request; its final answer is sent to ``reply``.
 
         Raises:
-            CommandError: Its id is another request's, which is not answered yet.
+            CommandError: Another unanswered request has the same id.
         """
-        if client_request.id in self.requests.ids:  # a client's own has a new one each time
+        if client_request.id in self.requests.ids:  # Clients use a new id for each request.
             raise CommandError("this id is in hand")
         if not self.requests.has_room(client_request):
             self.count("overfull")
@@ -149,20 +150,20 @@
         self.dispatch(self.balancer.on_request, event)
 
     def on_client_disconnect(self, reply: ReplySink) -> None:
-        """The client has gone: nobody waits for the answer."""
+        """Drop the request of a client that has disconnected, as no one waits for the answer."""
         request = reply.request
         if request and not request.answered:
             self.drop_request(request, "left")
 
     def fail_reply(self, reply: ReplySink) -> None:
-        """The client's connection must end, and its client have an answer before."""
+        """Fail the request of a connection that must close, so that its client gets an answer first."""
         if reply.request:
             self.fail_request(reply.request)
 
     def on_deadline(self, request: RequestInFlight) -> None:
-        """The client's time limit: what is out ends.
+        """Handle the request's deadline: end all outstanding attempts and fail the request if unanswered.
 
-        Also where the client has gone and settings forbid to cancel; the final answer may still be owed.
+        The attempts also end when the client has disconnected and the settings forbid cancelling them.
         """
         for attempt in request.attempts:
             if attempt:
@@ -173,61 +174,65 @@
 
     # Final answers.
 
-    def send_final_reply(self, number: int, answer: Callable[[ReplySink], None], how: str) -> None:
-        """Give the final answer that the balancer decided on, unless there was one."""
+    def send_final_reply(self, number: int, send: Callable[[ReplySink], None], disposition: str) -> None:
+        """Send the final answer that the balancer decided on, unless the request is answered already."""
         request = self.requests.get(number)
         if request and not request.answered:
-            self.count(how)
-            self.mark_answered(request, how)
-            answer(request.reply)
+            self.count(disposition)
+            self.mark_answered(request, disposition)
+            send(request.reply)
             self.requests.settle(request)
 
     def fail_request(self, request: RequestInFlight) -> None:
-        """Give a final answer in the balancer's stead, which then forgets the request."""
+        """Answer a request with an error without a decision of the balancer, and drop it there."""
         if not request.answered:
             request.reply.fail("broken off")
             self.drop_request(request, "abandoned")
 
-    def drop_request(self, request: RequestInFlight, how: str) -> None:
-        """Nothing is owed for it any more, and the balancer did not decide so."""
-        self.count(how)
-        self.mark_answered(request, how)
+    def drop_request(self, request: RequestInFlight, disposition: str) -> None:
+        """End a request that needs no further answer, although the balancer did not decide so."""
+        self.count(disposition)
+        self.mark_answered(request, disposition)
         self.dispatch(self.balancer.on_client_disconnect, request.number)
         self.dispatch(self.settle, request)
 
     def settle(self, request: RequestInFlight) -> None:
-        """An event of our own: the row goes once the balancer has heard of what came before."""
+        """Remove a request's row; queued as an event, so that the balancer handles earlier events first."""
         self.requests.settle(request)
 
-    def mark_answered(self, request: RequestInFlight, how: str) -> None:
-        """The final answer is decided."""
+    def mark_answered(self, request: RequestInFlight, disposition: str) -> None:
+        """Record that the final answer is decided, and log it at debug level."""
         self.requests.mark_answered(request)
         if LOG.isEnabledFor(logging.DEBUG):
             log_kv(
                 "answered",
                 logging.DEBUG,
                 id=request.client_request.id.decode(errors="replace"),
-                how=how,
+                how=disposition,
                 workload=request.client_request.request_class,
                 shots=len(request.attempts),
             )
 
     # Attempts.
 
-    def start_attempt(self, request: RequestInFlight, endpoint_index: int, until: float | None) -> None:
-        """Send a request to an endpoint; its one result comes by `on_attempt_result`."""
+    def start_attempt(
+        self, request: RequestInFlight, endpoint_index: int, attempt_deadline: float | None
+    ) -> None:
+        """Send a request to an endpoint; the attempt's single result is passed to `on_attempt_result`."""
         now = self.clock()
         number = len(request.attempts)
         request.attempts.append(None)
         request.undelivered_results += 1
         endpoint = self.fleet.endpoints.get(endpoint_index)
-        end = min(request.deadline, until or request.deadline)
+        deadline = min(request.deadline, attempt_deadline or request.deadline)
         too_many = number >= self.settings.limits.max_attempts
-        if request.answered or now >= end or too_many or endpoint is None:
+        if request.answered or now >= deadline or too_many or endpoint is None:
             not_sent = EndpointReply(Outcome.NOT_SENT)
             self.on_attempt_result(request, number, endpoint_index, now, not_sent)
             return
-        started = StartedAttempt(self, request, number=number, endpoint=endpoint, started=now, deadline=end)
+        started = StartedAttempt(
+            self, request, number=number, endpoint=endpoint, started=now, deadline=deadline
+        )
         label = ""
         if self.upstream.record:
             label = f"invocation {request.client_request.id.decode(errors='replace')} shot {number}"
@@ -240,18 +245,21 @@
         )
         if not attempt.done:
             request.attempts[number] = attempt
-            if end < request.deadline:
-                attempt.timer = self.loop.call_later(end - now, attempt.give_up, Outcome.TIMED_OUT)
+            if deadline < request.deadline:
+                attempt.timer = self.loop.call_later(deadline - now, attempt.give_up, Outcome.TIMED_OUT)
 
     def may_still_start(self, request: RequestInFlight, attempt: int, now: float) -> bool:
-        """Ask the balancer whether an attempt that had to wait may still be sent."""
+        """Ask the balancer whether an attempt that waited for a connection may still be sent."""
         self.balancer.now = now
         return self.balancer.may_start(request.number, attempt)
 
     def on_attempt_result(
         self, request: RequestInFlight, number: int, endpoint: int, started: float, reply: EndpointReply
     ) -> None:
-        """An attempt has ended: a first success is the final answer at once, from the endpoint's buffer."""
+        """Handle the end of an attempt.
+
+        The first success becomes the final answer immediately, straight from the endpoint's receive buffer.
+        """
         duration = self.clock() - started
         request.attempts[number] = None
         self.count(reply.outcome.value)
@@ -264,7 +272,7 @@
         self.dispatch(self.deliver_result, request, result)
 
     def log_attempt(self, request: RequestInFlight, endpoint: int, outcome: Outcome, duration: float) -> None:
-        """A line for each attempt, at debug level."""
+        """Log the end of an attempt at debug level."""
         log_kv(
             "shot",
             logging.DEBUG,
@@ -277,10 +285,12 @@
         )
 
     def deliver_result(self, request: RequestInFlight, result: AttemptResult) -> None:
-        """An event of our own: the balancer hears of the result as things stand by its turn."""
-        request.undelivered_results -= (
-            1  # only now: until the balancer is told, the number must not be another's
-        )
+        """Pass an attempt's result to the balancer; queued as an event.
+
+        Whether the request is answered is read when this event is handled, not when the attempt ended.
+        """
+        # Decremented only here: the number must not be reused before the balancer has received the result.
+        request.undelivered_results -= 1
         current = AttemptResult(
             result.attempt, result.outcome, result.duration, request.answered, result.load_report
         )
@@ -292,14 +302,14 @@
     # Events of the control plane, peers and timers.
 
     def on_endpoint_list(self, endpoints: list[Endpoint], is_complete: bool) -> None:
-        """The endpoint list, or what has changed of it."""
+        """Apply a complete endpoint list or a change to it."""
         self.fleet.update(endpoints, is_complete)
         self.dispatch(self.balancer.on_endpoint_list, endpoints, is_complete)
         self.upstream.retain(set(self.fleet.keys.values()))
         self.registry.retain(self.fleet.endpoints)
 
     def on_release_status(self, status: ReleaseStatus) -> None:
-        """The release service's status, or its reply to a vote."""
+        """Handle a status of the release service or its reply to a vote."""
         if status.reply is ReplyStatus.ACCEPTED:
             self.fleet.release_status = status
         if status.is_vote_reply:
@@ -307,22 +317,22 @@
         self.dispatch(self.balancer.on_release_status, status)
 
     def on_watch_failed(self) -> None:
-        """Discovery does not answer."""
+        """Notify the balancer that discovery does not answer."""
         self.dispatch(self.balancer.on_watch_failed)
 
     def on_peer_message(self, peer: int, message: PeerMessage) -> None:
-        """A peer's message."""
+        """Pass a peer's message to the balancer."""
         self.dispatch(self.balancer.on_peer_message, peer, message)
 
     def on_timer(self, at: float, timer: Timer) -> None:
-        """A timer of the balancer's is due."""
+        """Handle a due timer of the balancer, and record how late it fired."""
         self.max_timer_lag = max(self.max_timer_lag, self.clock() - at)
         self.dispatch(self.balancer.on_timer, timer)
 
     # Actions.
 
     def carry_out(self, action: Action) -> None:
-        """Do what the balancer asks for."""
+        """Execute an action of the balancer."""
         match action:
             case StartAttempt(number, endpoint, until):
                 self.start_attempt(self.requests.rows[number], endpoint, until)
@@ -342,27 +352,30 @@
                 self.check_health(endpoint)
             case LogMessage(text):
                 log_kv("note", text=text)
-            # WatchEndpoints asks for nothing: the endpoint list is watched from the start.
+            # WatchEndpoints needs no action: the endpoint list is watched from the start.
 
     def send_to_peer(self, peer: int | None, message: PeerMessage) -> None:
-        """Send a message to one peer or to all (None), where there are any."""
+        """Send a message to one peer or to all (None), if messaging is configured."""
         if self.peer_transport:
             self.peer_transport.send(peer, message)
 
     def cancel_attempt(self, number: int, attempt_number: int) -> None:
-        """Stop waiting for an attempt, if it is still out."""
+        """Cancel an attempt if it is still outstanding."""
         request = self.requests.get(number)
         attempt = request.attempts[attempt_number] if request else None
         if attempt:
             attempt.give_up(Outcome.CANCELLED)
 
     def cast_vote(self, vote: CastVote) -> None:
-        """Vote at the release service."""
+        """Log a vote and send it to the release service."""
         log_kv("vote", build=vote.build, stage=vote.stage, verdict=vote.verdict.log_name)
         self.release_service.vote(vote)
 
     def check_health(self, endpoint_index: int) -> None:
-        """Ask an endpoint for a sign of life, where it is listed and the settings allow it."""
+        """Send a health check to an endpoint.
+
+        If the endpoint is not listed or the settings forbid health checks, the check fails immediately.
+        """
 
         def on_result(reply: EndpointReply) -> None:
             self.on_health_result(endpoint_index, reply.outcome)
@@ -376,9 +389,9 @@
         self.upstream.check_health(self.fleet.keys[endpoint_index], name, self.health_timeout, on_result)
 
     def on_health_result(self, endpoint_index: int, outcome: Outcome) -> None:
-        """How a health check ended."""
+        """Pass the outcome of a health check to the balancer."""
         self.dispatch(self.balancer.on_health_check_result, endpoint_index, outcome)
 
-    def count(self, what: str) -> None:
-        """Count something for the log line on how things stand."""
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count(self, name: str) -> None:
+        """Increment a counter of the periodic status line (``event=standing``)."""
+        self.counts[name] = self.counts.get(name, 0) + 1
--- a/gatebank/proxy/event_queue.py
+++ b/gatebank/proxy/event_queue.py
@@ -1,4 +1,4 @@
-"""The events of one balancer, handled one at a time."""
+"""Queue of the balancer's events, which are handled one at a time."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 class Event(NamedTuple):
-    """A method to call and what with: the balancer's, or one of the dispatcher's that calls it."""
+    """A call to be made: a method of the balancer, or one of the dispatcher that calls the balancer."""
 
     method: Callable[..., None]
     arguments: tuple[object, ...]
 
 
 class EventQueue:
-    """Gives the balancer its events, and carries out its actions behind each.
+    """Passes events to the balancer, and executes the balancer's actions after each event.
 
     Args:
-        balancer: Its clock is set before each event.
-        clock: Unix time in seconds.
-        carry_out: Does what one action asks for; events that come of it wait for their turn.
-        rescue: Is given an event that failed.
+        balancer: The balancer; its ``now`` is set before each event.
+        clock: Returns Unix time in seconds.
+        carry_out: Executes one action; events that the action causes are queued.
+        on_failure: Receives each event whose handling raised an exception.
     """
 
     def __init__(
@@ -36,20 +36,20 @@
         balancer: Balancer,
         clock: Clock,
         carry_out: Callable[[Action], None],
-        rescue: Callable[[Event], None],
+        on_failure: Callable[[Event], None],
     ) -> None:
         self.balancer = balancer
         self.clock = clock
         self.carry_out = carry_out
-        self.rescue = rescue
-        self.events: deque[Event] = deque()  # emptied by `dispatch`
+        self.on_failure = on_failure
+        self.events: deque[Event] = deque()  # `dispatch` drains the queue.
         self.dispatching = False
 
     def dispatch(self, method: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
-        """Queue an event, and handle all that are queued unless that is being done already.
+        """Queue an event, and handle all queued events unless a caller further up the stack is doing so.
 
-        This is a boundary that catches all: whatever fails in an event or an action, no request is left
-        without its final answer, and the next event is handled.
+        Exceptions of events and actions are caught and logged here: no failure leaves a request without its
+        final answer or prevents the next event from being handled.
         """
         self.events.append(Event(method, arguments))
         if self.dispatching:
@@ -62,13 +62,13 @@
             self.dispatching = False
 
     def handle(self, event: Event) -> None:
-        """Give the balancer one event, and carry out its actions."""
+        """Pass one event to the balancer, and execute the resulting actions."""
         self.balancer.now = self.clock()
         try:
             event.method(*event.arguments)
         except Exception:
             log_fault(**{"in": getattr(event.method, "__name__", event.method)})
-            self.rescue(event)
+            self.on_failure(event)
         actions = self.balancer.actions
         self.balancer.actions = []
         for action in actions:
--- a/gatebank/proxy/peer_transport.py
+++ b/gatebank/proxy/peer_transport.py
@@ -1,6 +1,7 @@
-"""Messages between instances: datagrams out and in. Owns one UDP socket, given back by `close`.
+"""Sends and receives datagrams between instances. Owns one UDP socket, which `close` closes.
 
-uvloop has no sock_recvfrom, and the sender must be known, so the socket is read when the loop finds it ready.
+The transport needs the sender's address, but uvloop has no sock_recvfrom; the socket is therefore read in a
+reader callback of the event loop.
 """
 
 from __future__ import annotations
@@ -14,24 +15,27 @@
 from gatebank.proxy.configuration import Address
 from gatebank.proxy.sockets import open_socket
 
-MAX_DATAGRAMS_AT_ONCE = 64  # taken before others get their turn
+MAX_DATAGRAMS_AT_ONCE = 64  # Datagrams read per callback, so that other callbacks are not delayed.
 
 
 class PeerTransport:
-    """Sends to peers, and hears those whose address is known.
+    """Sends messages to peers, and receives messages from peers whose address is known.
 
     Args:
-        listen: Where this instance's datagrams come in.
-        peers: All instances' addresses, by their number.
-        broadcast: One address that reaches all; None: each is sent its own.
-        instance: This instance's number.
-        on_message: Takes a peer's number and its message.
+        listen: Address on which this instance receives datagrams.
+        peers: Addresses of all instances, by instance number.
+        broadcast: Address that reaches all instances; None sends a separate datagram to each peer.
+        instance: Number of this instance.
+        on_message: Receives the peer's number and the message.
 
     Attributes:
-        sent: Datagrams since the start; ``received`` and ``dropped`` likewise.
+        sent: Number of datagrams sent since the start.
+        received: Number of messages received since the start.
+        dropped: Number of datagrams since the start that could not be sent, were unreadable, or came from an
+            unknown address.
 
     Raises:
-        OSError: ``listen`` can't be listened on.
+        OSError: The socket cannot be bound to ``listen``.
     """
 
     def __init__(
@@ -51,7 +55,9 @@
         self.received = 0
         self.dropped = 0
         self.loop = asyncio.get_running_loop()
-        self.buffer = bytearray(peer_messages.MAX_MESSAGE_BYTES + 1)  # one more shows what is too long
+        self.buffer = bytearray(
+            peer_messages.MAX_MESSAGE_BYTES + 1
+        )  # The extra byte reveals oversized datagrams.
         self.sock = open_socket(listen, socket.SOCK_DGRAM)
         try:
             self.sock.bind(listen)
@@ -67,11 +73,11 @@
             try:
                 self.sent += 1
                 self.sock.sendto(data, address)
-            except OSError:  # lost, as a datagram may be
+            except OSError:  # Datagrams may be lost; the protocol tolerates it.
                 self.dropped += 1
 
     def targets(self, peer: int | None) -> Sequence[Address]:
-        """Where a message for this peer, or for all, goes."""
+        """Return the addresses for a message to one peer, or to all (None)."""
         if peer is not None:
             return [self.peers[peer]] if peer < len(self.peers) else []
         if self.broadcast:
@@ -79,18 +85,18 @@
         return [address for number, address in enumerate(self.peers) if number != self.instance]
 
     def on_readable(self) -> None:
-        """Take what has come, so many at most."""
+        """Read the waiting datagrams, at most MAX_DATAGRAMS_AT_ONCE."""
         for _ in range(MAX_DATAGRAMS_AT_ONCE):
             try:
                 size, sender = self.sock.recvfrom_into(self.buffer)
             except BlockingIOError:
                 return
-            except OSError:  # an earlier datagram was refused somewhere
+            except OSError:  # Reports that the destination of an earlier datagram refused it.
                 continue
-            self.take(bytes(self.buffer[:size]), sender[:2])
+            self.on_datagram(bytes(self.buffer[:size]), sender[:2])
 
-    def take(self, data: bytes, sender: Address) -> None:
-        """Pass a datagram on, if it is a peer's and can be read."""
+    def on_datagram(self, data: bytes, sender: Address) -> None:
+        """Decode a datagram and pass its message on, if it is readable and comes from a peer."""
         number = self.numbers.get(sender)
         message = peer_messages.decode(data) if len(data) <= peer_messages.MAX_MESSAGE_BYTES else None
         if number is None or message is None:
@@ -100,6 +106,6 @@
             self.on_message(number, message)
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close the socket."""
         self.loop.remove_reader(self.sock)
         self.sock.close()
--- a/gatebank/proxy/release_messages.py
+++ b/gatebank/proxy/release_messages.py
@@ -1,4 +1,4 @@
-"""What the release service writes: states, replies to votes, and the lines of its stream. No I/O."""
+"""Parsers for the release service's messages: states, replies to votes, and its event stream. No I/O."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from gatebank.events import Phase, ReleaseStatus, ReplyStatus
 from gatebank.proxy.log import log_kv
 
-MAX_EVENT_BYTES = 16 * 1024  # of one event; what is longer is none of the release service's
-MIN_AGE_S = -10.0  # exclusive: clocks may differ by a little
-MAX_AGE_S = 1e9  # exclusive: thirty years, a number and no age
+MAX_EVENT_BYTES = 16 * 1024  # Size limit of one event; the release service sends no longer ones.
+MIN_AGE_S = -10.0  # Exclusive lower bound; slightly negative ages occur, because clocks may differ a little.
+MAX_AGE_S = 1e9  # Exclusive upper bound of some thirty years; anything larger is not a plausible age.
 PHASES = {
     "IN_PROGRESS": Phase.CANARY,
     "ROLLING_BACK": Phase.ROLLING_BACK,
@@ -30,17 +30,19 @@
     "unavailable": ReplyStatus.UNAVAILABLE,
     "bad_request": ReplyStatus.UNAVAILABLE,
 }
-EXPECTED_REFUSALS = ("too_many_calls", "out_of_date")  # these happen to every instance, and are not logged
-# A build's state only goes forward: through its stages, on, and back at any time.
+# Error codes that every instance receives in normal operation; they are not logged.
+EXPECTED_REFUSALS = ("too_many_calls", "out_of_date")
+# Order in which a build's phases follow one another: a canary passes through its stages, is then released,
+# and may be rolled back at any time. No phase is followed by an earlier one.
 PHASE_ORDER = (Phase.CANARY, Phase.RELEASED, Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 
 
 class ReleaseStatusError(GatebankError):
-    """What the release service wrote can't be read."""
+    """A message of the release service cannot be parsed."""
 
 
 class Progress(NamedTuple):
-    """How far the newest build has come: the larger is the later."""
+    """Progress of the newest build; a larger tuple is a later state."""
 
     build: int
     phase: int
@@ -48,21 +50,21 @@
 
 
 class StreamEvent(NamedTuple):
-    """One event of the stream."""
+    """One event of the event stream."""
 
     name: str
     data: str
 
 
 def parse_status(fields: Mapping[str, object]) -> ReleaseStatus:
-    """Read a state by its fields.
+    """Parse a release state from its fields.
 
     >>> fields = {"image": "4", "ring": "1", "progress": "COMPLETE", "ceiling": "1", "lag_ms": "310"}
     >>> parse_status(fields).phase
     <Phase.RELEASED: 2>
 
     Raises:
-        ReleaseStatusError: A field is missing or senseless.
+        ReleaseStatusError: A field is missing or invalid.
     """
     try:
         build, stage = (int(str(fields[name])) for name in ("image", "ring"))
@@ -71,36 +73,38 @@
         check_ranges(build, stage, cap, age)
         phase = PHASES[str(fields["progress"])]
     except (KeyError, TypeError, ValueError) as error:
-        raise ReleaseStatusError(f"a state can't be read: {type(error).__name__} {error}") from error
+        raise ReleaseStatusError(
+            f"the release state cannot be parsed: {type(error).__name__} {error}"
+        ) from error
     return ReleaseStatus(ReplyStatus.ACCEPTED, False, build, stage, phase, cap, max(0.0, age))
 
 
 def check_ranges(build: int, stage: int, cap: float, age: float) -> None:
-    """Check a state's figures.
+    """Check that the numbers of a state are in range.
 
     Raises:
-        ValueError: One of them is senseless.
+        ValueError: A number is out of range.
     """
     if build < 0 or stage < 0 or not 0 <= cap <= 1 or not MIN_AGE_S < age < MAX_AGE_S:
-        raise ValueError(f"build {build} stage {stage} cap {cap} age {age}")
+        raise ValueError(f"out of range: build {build} stage {stage} cap {cap} age {age}")
 
 
 def to_float(value: object) -> float:
-    """A number as JSON, a form or XML has it.
+    """Convert a value from JSON, a form or XML to a float.
 
     Raises:
-        TypeError: It is neither text nor a number.
-        ValueError: The text is no number.
+        TypeError: The value is neither text nor a number.
+        ValueError: The text is not a number.
     """
-    return float(value)  # type: ignore[arg-type]  # what else it may be raises TypeError
+    return float(value)  # type: ignore[arg-type]  # Any other type raises TypeError.
 
 
 def parse_vote_reply(status: int, body: bytes) -> ReleaseStatus:
-    """Read the reply to a vote; one that can't be read counts as none.
+    """Parse the reply to a vote; an unreadable reply counts as timed out.
 
     Args:
-        status: Of the HTTP answer.
-        body: Of the HTTP answer.
+        status: Status code of the HTTP reply.
+        body: Body of the HTTP reply.
 
     >>> parse_vote_reply(400, b"<Error><Code>out_of_date</Code></Error>").reply
     <ReplyStatus.STALE: 'moot'>
@@ -126,7 +130,7 @@
 
 
 def progress(status: ReleaseStatus) -> Progress:
-    """How far the newest build has come.
+    """Return the progress of the newest build in a status.
 
     >>> canary = ReleaseStatus(ReplyStatus.ACCEPTED, False, 42, 1, Phase.CANARY)
     >>> back = replace(canary, stage=0, phase=Phase.ROLLING_BACK)
@@ -140,7 +144,7 @@
 
 
 class EventParser:
-    r"""The lines of an event stream, put together.
+    r"""Incremental parser of an event stream (server-sent events).
 
     >>> parser = EventParser()
     >>> parts = (b":\nevent: DIS", b"PUTE\ndata: host=a&", b"type=b\n", b"\n")
@@ -156,14 +160,14 @@
         self.data: list[str] = []
 
     def feed(self, part: bytes) -> list[StreamEvent]:
-        """Take bytes, and return the events that are whole by them.
+        """Parse further bytes, and return the events that they complete.
 
         Raises:
-            ReleaseStatusError: An event is too long.
+            ReleaseStatusError: An event exceeds MAX_EVENT_BYTES.
         """
         *lines, self.partial_line = (self.partial_line + part).split(b"\n")
         if len(self.partial_line) + sum(map(len, self.data)) > MAX_EVENT_BYTES:
-            raise ReleaseStatusError("an event is too long")
+            raise ReleaseStatusError("an event of the release stream is too long")
         events = []
         for line in lines:
             field, _, value = line.decode("utf-8", "replace").rstrip("\r").partition(":")
@@ -172,7 +176,7 @@
                 self.name = value
             elif field == "data":
                 self.data.append(value)
-            elif self.data and line.strip() == b"":  # an empty line ends an event
+            elif self.data and line.strip() == b"":  # An empty line ends an event.
                 events.append(StreamEvent(self.name, "\n".join(self.data)))
                 self.name = ""
                 self.data = []
--- a/gatebank/proxy/release_service.py
+++ b/gatebank/proxy/release_service.py
@@ -1,6 +1,7 @@
-"""The release service: its status, from a stream that stays open, and this instance's votes.
+"""Client of the release service: receives the release status and casts this instance's votes.
 
-Owns the stream's connection and one connection a vote, which is closed with its reply.
+The status arrives on an event stream that stays open. Owns the stream's connection and one connection for
+each vote, which is closed after the reply.
 """
 
 from __future__ import annotations
@@ -31,32 +32,33 @@
 
 VOTE_PATH = "/v2/projects/main/"
 STREAM_PATH = "/v2/projects/main/stream"
-STREAM_SILENCE_S = 3.0  # without the sign of life that comes every second
-# Before the stream is asked for again: at once, as what is told meanwhile is not told again, and then twice
-# as long each time, up to half a second.
+# Silence after which the stream is considered dead; the release service sends a keep-alive every second.
+STREAM_SILENCE_S = 3.0
+# Delays before the stream is requested again. The first retry is nearly immediate, because events sent in the
+# meantime are not repeated; each further delay is twice as long, up to MAX_RECONNECT_S.
 MIN_RECONNECT_S = 0.02
 MAX_RECONNECT_S = 0.5
-MAX_VOTES = 8  # out at once; the release service holds 32 connections of an instance
+MAX_VOTES = 8  # Limit on outstanding votes; the release service accepts 32 connections from an instance.
 OPINIONS = {Verdict.NONE: "none", Verdict.PROMOTE: "on", Verdict.HOLD: "hold", Verdict.ROLL_BACK: "back"}
 
 
 class LatestStatus(NamedTuple):
-    """The newest state, and the clock's time at which it began."""
+    """The newest release status, and the clock time at which its state began."""
 
     status: ReleaseStatus
     began: float
 
 
 class ReleaseService:
-    """Watches the release service, and votes.
+    """Watches the release status, and casts votes.
 
     Args:
-        where: Its address; None: there is none, and votes fail.
-        registry: Endpoints' names.
-        vote_timeout: Seconds within which each vote has its one reply.
-        clock: Unix time in seconds.
-        on_status: Takes each status, and the reply to each vote.
-        request_classes: Their names.
+        address: Address of the release service; None if there is none, in which case votes fail.
+        registry: Knows the names of the listed endpoints.
+        vote_timeout: Seconds after which a vote without a reply counts as timed out.
+        clock: Returns Unix time in seconds.
+        on_status: Receives each status, and the reply to each vote.
+        request_classes: Names of the request classes.
     """
 
     def __init__(
@@ -76,13 +78,14 @@
         self.on_status = on_status
         self.request_classes = request_classes
         self.latest: LatestStatus | None = None
-        self.votes: set[asyncio.Task[None]] = set()  # each goes with its reply
+        self.votes: set[asyncio.Task[None]] = set()  # Outstanding votes; a task is removed after its reply.
 
     def accept_status(self, status: ReleaseStatus) -> None:
-        """Pass a status on; what is older than what was passed on before is replaced by that.
+        """Pass a status on; a status older than the latest one is replaced by the latest one.
 
-        Stream and votes come by two connections. A status' age does not tell which is the newer, as it was
-        counted when it was written, and it may have been long on its way.
+        The stream and the replies to votes arrive on different connections. The age of a status does not show
+        which of two is newer, because it was computed when the status was written, and the status may have
+        been in transit for a long time.
         """
         if status.reply is ReplyStatus.ACCEPTED:
             began = self.clock() - status.age
@@ -100,7 +103,7 @@
     # Votes.
 
     def vote(self, vote: CastVote) -> None:
-        """Cast a vote; its one reply comes by ``on_status``, never before this returns."""
+        """Cast a vote; its single reply is passed to ``on_status``, never before this method returns."""
         if not self.address or len(self.votes) >= MAX_VOTES:
             failed = ReleaseStatus(ReplyStatus.UNAVAILABLE, True)
             asyncio.get_running_loop().call_soon(self.accept_status, failed)
@@ -109,13 +112,16 @@
         self.votes.add(task)
         task.add_done_callback(self.votes.discard)
 
-    async def cast(self, where: Address, vote: CastVote) -> None:
-        """Cast one vote on a connection of its own: none can meet one that is just closing."""
+    async def cast(self, address: Address, vote: CastVote) -> None:
+        """Send one vote and wait for the reply.
+
+        Each vote uses a new connection, so that no vote is sent on a connection that is just being closed.
+        """
         opinion = OPINIONS[vote.verdict]
         form = f"Action=PutApproval&image={vote.build}&ring={vote.stage}&opinion={opinion}"
-        caller = HttpClient(where)
+        client = HttpClient(address)
         try:
-            reply = await caller.call("POST", VOTE_PATH, self.vote_timeout, form)
+            reply = await client.call("POST", VOTE_PATH, self.vote_timeout, form)
             status = parse_vote_reply(reply.status, reply.body)
         except NoReplyError as error:
             log_kv("vote_lost", logging.WARNING, why=error, arrived=error.may_have_arrived)
@@ -123,71 +129,73 @@
                 ReplyStatus.TIMED_OUT if error.may_have_arrived else ReplyStatus.UNAVAILABLE, True
             )
         finally:
-            caller.close()
+            client.close()
         log_kv("vote_answer", build=vote.build, verdict=vote.verdict.log_name, heard=status.reply.value)
         self.accept_status(status)
 
     # The stream.
 
-    async def watch(self, where: Address, turn: WatchLease) -> None:
-        """Follow the stream, for ever: begun again when it ends, breaks or falls silent.
+    async def watch(self, address: Address, lease: WatchLease) -> None:
+        """Read the event stream; reconnects when the stream ends, fails or falls silent.
 
-        Once another turn takes over, it is not begun again.
+        Returns when the stream fails after the lease was superseded.
         """
-        is_lost = False
+        is_failing = False
         delay = MIN_RECONNECT_S
         while True:
             parser = EventParser()
             try:
-                async with aclosing(HttpClient(where).stream(STREAM_PATH, STREAM_SILENCE_S)) as stream:
+                async with aclosing(HttpClient(address).stream(STREAM_PATH, STREAM_SILENCE_S)) as stream:
                     async for part in stream:
                         for event in parser.feed(part):
-                            if is_lost:
+                            if is_failing:
                                 log_kv("desk_back")
-                            is_lost = False
+                            is_failing = False
                             delay = MIN_RECONNECT_S
                             self.take_event(event)
-                            turn.on_first_message()
+                            lease.on_first_message()
             except (NoReplyError, ReleaseStatusError, ValueError) as error:
-                if turn.is_superseded:
+                if lease.is_superseded:
                     return
-                if not is_lost:
+                if not is_failing:
                     log_kv("desk_lost", logging.WARNING, why=error)
-                is_lost = True
+                is_failing = True
             await asyncio.sleep(delay)
             delay = min(2 * delay, MAX_RECONNECT_S)
 
     def take_event(self, event: StreamEvent) -> None:
-        """Pass on an event of the stream.
+        """Handle an event of the stream.
 
         Raises:
-            ReleaseStatusError: It can't be read: the connection is then of no further use.
-            ValueError: As above.
+            ReleaseStatusError: The event cannot be parsed; the connection must not be used any further.
+            ValueError: As for ReleaseStatusError.
         """
         fields = dict(parse_qsl(event.data))
         if event.name == "ROLLOUT":
             self.accept_status(parse_status(fields))
         elif event.name == "DISPUTE":
-            # No evidence: few answers are disputed, and some of them by mistake.
+            # A dispute is not used as evidence: few answers are disputed, and some of those by mistake.
             float(fields.get("lag_ms", 0))
             is_listed = fields.get("host", "") in self.registry.indices
             if not is_listed or fields.get("type", "") not in self.request_classes:
-                log_kv("desk_unread", logging.WARNING, why="a dispute of nobody known")
+                log_kv(
+                    "desk_unread", logging.WARNING, why="a dispute names an unknown endpoint or request class"
+                )
         else:
             log_kv("desk_unknown", logging.WARNING, name=event.name)
 
     def close(self) -> None:
-        """End the votes that are out."""
+        """Cancel the outstanding votes."""
         for task in list(self.votes):
             task.cancel()
 
 
 def is_same_state(status: ReleaseStatus, other: ReleaseStatus) -> bool:
-    """The same build at the same stage and phase."""
+    """Return whether both statuses show the same build at the same stage and phase."""
     return (status.build, status.stage, status.phase) == (other.build, other.stage, other.phase)
 
 
 def log_stage(status: ReleaseStatus) -> None:
-    """Log a state that is new."""
+    """Log a new state of the release."""
     phase = status.phase.log_name if status.phase is not None else ""
     log_kv("stage", build=status.build, stage=status.stage, phase=phase, cap=status.cap, age=status.age)
--- a/gatebank/proxy/requests.py
+++ b/gatebank/proxy/requests.py
@@ -1,4 +1,4 @@
-"""The requests in flight: their numbers, ids and bytes, and the one place where a request is settled."""
+"""Table of the requests in flight: numbers, ids and memory use; the only place that settles a request."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from gatebank.proxy.messages import ClientRequest
 from gatebank.proxy.upstream.attempt import Attempt
 
-REQUEST_OVERHEAD_BYTES = 2048  # that a request in flight takes besides its own, about
+REQUEST_OVERHEAD_BYTES = 2048  # Approximate memory of a request in flight besides the request's own bytes.
 
 
 class RequestInFlight:
-    """A request whose final answer is owed, or of which an attempt is out.
+    """A request that is not answered yet, or that still has an outstanding attempt.
 
     Attributes:
-        number: The balancer's name for it, used again once it is settled.
-        deadline: In the clock's seconds.
-        size: Bytes that it takes, about.
-        attempts: By their number; None for one that has ended or was never sent.
-        attempts_out: Attempts whose result the balancer has not been given yet.
-        answered: The final answer is out, or nobody waits for it any more.
+        number: Number by which the balancer identifies the request; reused after the request is settled.
+        deadline: Deadline in Unix time (seconds of the instance's clock).
+        size: Approximate memory use in bytes.
+        attempts: Attempts by number; None for an attempt that has ended or was never sent.
+        undelivered_results: Number of attempts whose result the balancer has not received yet.
+        answered: True once the final answer is decided or the client no longer waits for an answer.
     """
 
     __slots__ = (
@@ -49,36 +49,36 @@
 
 
 class RequestTable:
-    """The requests in flight, within ``max_bytes``.
+    """The requests in flight, whose memory is limited to ``max_bytes``.
 
-    Invariant: a number is not used again before its request is settled, as the balancer knows a request by
-    its number alone. `settle` is the one place where a row goes.
+    Invariant: a number is not reused before its request is settled, because the balancer identifies a request
+    by its number alone. Only `settle` removes rows.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.size_bytes = 0
-        self.ids: set[bytes] = set()  # of requests that are not answered
+        self.ids: set[bytes] = set()  # Ids of the unanswered requests.
         self.rows: dict[int, RequestInFlight] = {}
-        self.free_numbers: list[int] = []  # used before
+        self.free_numbers: list[int] = []  # Numbers of settled requests, available for reuse.
 
     def __len__(self) -> int:
         return len(self.rows)
 
     def get(self, number: int) -> RequestInFlight | None:
-        """The request of this number, if it is in flight."""
+        """Return the request with this number, or None if it is not in flight."""
         return self.rows.get(number)
 
     def values(self) -> ValuesView[RequestInFlight]:
-        """All requests in flight."""
+        """Return a view of all requests in flight."""
         return self.rows.values()
 
     def has_room(self, client_request: ClientRequest) -> bool:
-        """One more request as large fits the bound."""
+        """Return whether the request fits within the memory limit."""
         return self.size_bytes + client_request.size + REQUEST_OVERHEAD_BYTES <= self.max_bytes
 
     def add(self, client_request: ClientRequest, reply: ReplySink, deadline: float) -> RequestInFlight:
-        """Give a request a number and a row."""
+        """Add a request to the table under a free number."""
         self.ids.add(client_request.id)
         number = self.free_numbers.pop() if self.free_numbers else len(self.rows)
         request = RequestInFlight(number, client_request, reply, deadline)
@@ -88,12 +88,12 @@
         return request
 
     def mark_answered(self, request: RequestInFlight) -> None:
-        """The final answer is decided: its id may come again."""
+        """Mark the request as answered; its id may be used by a new request from now on."""
         request.answered = True
         self.ids.discard(request.client_request.id)
 
     def settle(self, request: RequestInFlight) -> None:
-        """Drop the request's row, if it is answered and none of its attempts is out."""
+        """Remove the request's row if it is answered and the balancer has received all attempt results."""
         if request.answered and not request.undelivered_results and self.rows.get(request.number) is request:
             del self.rows[request.number]
             self.free_numbers.append(request.number)
--- a/gatebank/proxy/service.py
+++ b/gatebank/proxy/service.py
@@ -1,22 +1,25 @@
-"""One instance from its start to its end: makes the parts, keeps them running, and gives all back.
+"""Lifecycle of one instance: creates the components, runs them, and releases all resources at the end.
 
 Start-up (`Service.run`):
-    1. `open_parts`: each part is made, and put on the exit stack, after those that it hands things to.
-    2. `apply_initial_knowledge`: the balancer learns what the configuration says of the control plane.
-    3. `inherit_state`, where that is switched on: watch the control plane, learn for a while before serving.
-    4. `handle_signals`: SIGHUP, blocked since the start of the process, is heeded from here on.
-    5. `listen`: clients may connect.
-    6. Watch the control plane, unless step 3 did, and start the supervised tasks.
-    7. ``event=ready``.
-
-SIGTERM or SIGINT (`Service.shut_down`), in this order, which tests/sockets.scenarios and the tests of races
-force:
-    1. ``event=leaving``; connections are accepted for 0.45 s more, as new ones come for up to 0.4 s.
-    2. The listener closes, the backlog is taken, each connection ends as it becomes idle.
-    3. A last line on how things stand.
-    4. What is known is written to disk, where state transfer is switched on.
-    5. ``event=gone``; then the exit stack: supervised tasks, watches, state transfer, downstream, upstream,
-       release service, peers, recorder; at last one turn of the loop for what was cancelled.
+    1. `open_parts`: creates the components and pushes each on the exit stack after those that it uses.
+    2. `apply_initial_knowledge`: gives the balancer the control plane state from the configuration.
+    3. `inherit_state`, if state transfer is enabled: starts watching the control plane and receives state
+       from other instances for a limited time before serving.
+    4. `handle_signals`: installs the signal handlers. SIGHUP, blocked since the process started, is handled
+       from this point on.
+    5. `listen`: lets clients connect.
+    6. Starts watching the control plane, unless step 3 did so, and starts the supervised tasks.
+    7. Logs ``event=ready``.
+
+Shutdown on SIGTERM or SIGINT (`Service.shut_down`), in this order; tests/sockets.scenarios and the race tests
+enforce the order:
+    1. Logs ``event=leaving``; accepts connections for another 0.45 s, as new ones arrive for up to 0.4 s.
+    2. Closes the listener, accepts the backlog, and closes each connection when it becomes idle.
+    3. Logs a last status line (``event=standing``).
+    4. Writes the learned state to disk, if state transfer is enabled.
+    5. Logs ``event=gone``, then unwinds the exit stack: supervised tasks, watches, state transfer,
+       downstream, upstream, release service, peers, recorder; finally one iteration of the event loop for
+       cancelled tasks.
 """
 
 from __future__ import annotations
@@ -47,63 +50,64 @@
 from gatebank.proxy.supervisor import Supervisor
 from gatebank.proxy.upstream import Upstream
 
-# Descriptors for the loop, listener, discovery, release service, datagrams, log and those in between.
+# Descriptors reserved for everything but connections: event loop, listener, discovery, release service,
+# datagrams, log, and descriptors that are open only briefly.
 RESERVED_DESCRIPTORS = 24
-SWEEP_INTERVAL_S = 1.0  # between sweeps of idle connections
+SWEEP_INTERVAL_S = 1.0  # Interval between sweeps of idle connections to endpoints.
 SWEEPS_PER_STATUS_LINE = 10
 
 
 class OptionalPart(Protocol):
-    """A part that is switched on by the operators' file; its counts stand in the line on how things stand."""
+    """A component that the operators' file enables; its counters appear in the periodic status line."""
 
     def status_counts(self) -> Mapping[str, int | str]:
-        """Its counts, by the log line's keys."""
+        """Return the component's counters, keyed by the keys of the status line."""
 
 
 class ConnectionRecorder(OptionalPart, Protocol):
-    """Records connections; without delay to them."""
+    """Records connections without delaying them."""
 
     def record_client(self, sock: socket.socket) -> ConnectionRecording | None:
-        """The recording of a client's connection; None if that side is not recorded."""
+        """Return the recording of a client's connection, or None if client connections are not recorded."""
 
     def record_endpoint(self, sock: socket.socket) -> ConnectionRecording | None:
-        """The recording of a connection to an endpoint; None if that side is not recorded."""
+        """Return the recording of a connection to an endpoint, or None if these are not recorded."""
 
     def stop(self) -> None:
-        """Write what is queued, and end."""
+        """Write the queued data, and stop recording."""
 
 
 class StateTransfer(OptionalPart, Protocol):
-    """Learns from other instances, and teaches them."""
+    """Transfers learned state from and to other instances."""
 
     async def begin(self) -> None:
-        """Learn for a while before the instance serves."""
+        """Receive state from other instances for a limited time before this instance serves."""
 
     def reload_keys(self) -> None:
-        """A reload was asked for."""
+        """Reload the keys, as a configuration reload was requested."""
 
     async def finish(self) -> None:
-        """Keep what is known for the next start."""
+        """Store the learned state for the next start."""
 
     def close(self) -> None:
-        """Give everything back."""
+        """Release all resources."""
 
 
 @dataclass(slots=True, frozen=True)
 class OptionalParts:
-    """Makers of the parts that the operators' file may switch on; the composition root knows them."""
+    """Factories of the components that the operators' file can enable; set by the composition root."""
 
     make_recorder: Callable[[Configuration], ConnectionRecorder | None] = lambda _: None
     make_state_transfer: Callable[[Configuration, Dispatcher], StateTransfer | None] = lambda *_: None
 
 
 class Service:
-    """One instance.
+    """One running instance.
 
     Args:
-        configuration: Where it stands and what it starts with.
-        environment: By which the configuration is loaded again.
-        optional_parts: What the operators' file switches on.
+        configuration: The instance's configuration.
+        environment: Environment variables, needed to reload the configuration.
+        optional_parts: Factories of the components that the operators' file can enable.
     """
 
     def __init__(
@@ -139,10 +143,10 @@
         self.terminated = asyncio.Event()
 
     async def run(self) -> None:
-        """Start, serve until SIGTERM, and shut down.
+        """Start, serve until SIGTERM or SIGINT, and shut down.
 
         Raises:
-            ConfigurationError: The instance can't start so.
+            ConfigurationError: The instance cannot start with this configuration.
         """
         async with AsyncExitStack() as stack:
             stack.push_async_callback(asyncio.sleep, 0)
@@ -160,7 +164,7 @@
                 self.watches.update_addresses(self.configuration, version)
             self.start_tasks(stack, reloader)
             gc.collect()
-            gc.freeze()  # what stands from the start need not be looked at again
+            gc.freeze()  # Excludes the objects created at start-up from later garbage collections.
             log_kv("ready", name=self.configuration.name, nodes=len(self.dispatcher.fleet.endpoints))
             await self.terminated.wait()
             await self.shut_down()
@@ -168,7 +172,7 @@
     # Start-up.
 
     def open_parts(self, stack: AsyncExitStack) -> None:
-        """Put each part on the stack; what is on it last is given back first."""
+        """Create the components and push their clean-up on the stack; the last pushed is released first."""
         self.recorder = self.optional_parts.make_recorder(self.configuration)
         if self.recorder:
             stack.callback(self.recorder.stop)
@@ -180,7 +184,7 @@
         stack.callback(self.downstream.close)
 
     def open_peer_transport(self, stack: AsyncExitStack) -> None:
-        """Exchange messages with peers, where that is configured and allowed."""
+        """Open the peer transport, if it is configured and the settings allow messages to peers."""
         configuration = self.configuration
         settings = configuration.settings
         listen = configuration.peer_listen
@@ -200,13 +204,20 @@
         stack.callback(transport.close)
 
     def apply_initial_knowledge(self) -> int | None:
-        """Give the balancer what the configuration says; returns the endpoint list's version."""
+        """Give the balancer the control plane state from the configuration.
+
+        Returns:
+            The version of the endpoint list; None if the configuration holds no endpoint list.
+        """
         knowledge = read_initial_knowledge(self.configuration, self.registry)
         self.dispatcher.apply_initial_knowledge(knowledge.endpoints, knowledge.status)
         return knowledge.version
 
     async def inherit_state(self, stack: AsyncExitStack, version: int | None) -> None:
-        """Learn from other instances, where that is switched on; the endpoint list is needed for it."""
+        """Receive state from other instances, if state transfer is enabled.
+
+        The watches start first in that case, because the receiver needs the endpoint list.
+        """
         self.state_transfer = self.optional_parts.make_state_transfer(self.configuration, self.dispatcher)
         if self.state_transfer:
             stack.callback(self.state_transfer.close)
@@ -216,7 +227,7 @@
             await self.state_transfer.begin()
 
     def handle_signals(self, reloader: Reloader) -> None:
-        """Heed SIGTERM, SIGINT and SIGHUP, which gatebank/signal_mask.py has blocked until here."""
+        """Handle SIGTERM, SIGINT and SIGHUP; gatebank/signal_mask.py blocks SIGHUP until this point."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.terminated.set)
@@ -224,7 +235,7 @@
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def listen(self) -> None:
-        """Let clients connect."""
+        """Open the listening socket for clients."""
         host, port = self.configuration.listen
         try:
             self.downstream.listen((host, port))
@@ -232,7 +243,7 @@
             raise ConfigurationError(f"{host}:{port}: {error.strerror}") from error
 
     def start_tasks(self, stack: AsyncExitStack, reloader: Reloader) -> None:
-        """Start what runs as long as the instance does; the names stand in log lines of faults."""
+        """Start the supervised tasks; their names appear in the log lines of faults (``in=``)."""
         stack.callback(self.supervisor.close)
         self.supervisor.start("accept", self.downstream.accept)
         self.supervisor.start("tend", self.sweep)
@@ -242,7 +253,7 @@
     # Serving.
 
     async def sweep(self) -> None:
-        """Close connections to endpoints that are idle for too long, and say how things stand."""
+        """Close connections to endpoints that are idle for too long, and log the periodic status line."""
         sweeps = 0
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
@@ -252,7 +263,7 @@
                 self.log_status_line()
 
     def log_status_line(self) -> None:
-        """Log how things stand; on-call tools read these keys."""
+        """Log the status line (``event=standing``); on-call tools read its keys."""
         dispatcher = self.dispatcher
         peers = dispatcher.peer_transport
         counts: dict[str, int | str] = {
@@ -284,13 +295,13 @@
         dispatcher.max_timer_lag = 0.0
 
     def enabled_parts(self) -> Sequence[OptionalPart]:
-        """The optional parts that there are."""
+        """Return the optional components that are enabled."""
         return [part for part in (self.recorder, self.state_transfer) if part]
 
     # Shutdown.
 
     async def shut_down(self) -> None:
-        """The steps at SIGTERM; the module's head gives their order."""
+        """Run the shutdown steps; the module docstring describes their order."""
         log_kv("leaving", in_hand=len(self.dispatcher.requests))
         await self.downstream.leave()
         self.log_status_line()
@@ -302,17 +313,17 @@
 async def run_service(
     configuration: Configuration, environment: Mapping[str, str], optional_parts: OptionalParts
 ) -> None:
-    """Run one instance in the loop that runs."""
+    """Run one instance in the current event loop."""
     await Service(configuration, environment, optional_parts).run()
 
 
 def serve(
     configuration: Configuration, environment: Mapping[str, str], optional_parts: OptionalParts
 ) -> None:
-    """Run one instance until SIGTERM.
+    """Run one instance in a new event loop until SIGTERM or SIGINT.
 
     Raises:
-        ConfigurationError: It can't start so.
+        ConfigurationError: The instance cannot start with this configuration.
     """
     logging.getLogger("asyncio").setLevel(logging.ERROR)
     uvloop.run(run_service(configuration, environment, optional_parts))
--- a/gatebank/proxy/started_attempt.py
+++ b/gatebank/proxy/started_attempt.py
@@ -1,7 +1,7 @@
-"""An attempt that the balancer has started, from its choice to its result.
+"""An attempt that the balancer has started, from the choice of an endpoint to the attempt's result.
 
-Between the choice of an endpoint and the moment in which bytes can be written, what the choice hung on may
-fall away. `StartedAttempt.payload` is the check just before bytes are written.
+The conditions under which the endpoint was chosen may change before the attempt can be written to a
+connection. `StartedAttempt.payload` therefore checks them again just before the bytes are written.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 if TYPE_CHECKING:
     from gatebank.proxy.dispatcher import Dispatcher
 
-IMMEDIATE_S = 0.01  # in which an attempt is written that need not wait for a connection
+IMMEDIATE_S = 0.01  # An attempt that does not wait for a connection is written within this time.
 
 
 class StartedAttempt:
     """One attempt of a request at an endpoint.
 
     Attributes:
-        number: Its number among the request's attempts.
-        endpoint: As listed when it was chosen.
-        cap: The build's share of traffic then.
-        started: Clock time at which it was chosen.
-        until: Clock time at which it is given up.
+        number: Number of the attempt among the request's attempts.
+        endpoint: The endpoint's list entry at the time of the choice.
+        cap: The build's share of traffic at the time of the choice.
+        started: Clock time of the choice.
+        deadline: Clock time at which the attempt times out.
     """
 
     __slots__ = ("cap", "deadline", "dispatcher", "endpoint", "number", "request", "started")
@@ -50,7 +50,11 @@
         self.deadline = deadline
 
     def payload(self) -> bytes | None:
-        """Its bytes; None if it waited for a connection while what it was chosen on fell away."""
+        """Return the bytes to send, or None if the attempt must not be sent any more.
+
+        An attempt that waited for a connection is dropped if the endpoint no longer fits, the request was
+        answered, the deadline has passed, or the balancer no longer allows the attempt.
+        """
         dispatcher = self.dispatcher
         now = dispatcher.clock()
         if not self.endpoint_still_fits() or self.request.answered or now >= self.deadline:
@@ -62,7 +66,11 @@
         return self.request.client_request.command(self.deadline - now)
 
     def endpoint_still_fits(self) -> bool:
-        """It is listed with the build it was chosen for, takes requests, and its build's cap did not fall."""
+        """Return whether the choice of the endpoint is still valid.
+
+        The endpoint must be listed with the same build and be ready, and its build's cap must not have
+        fallen.
+        """
         fleet = self.dispatcher.fleet
         listed = fleet.endpoints.get(self.endpoint.index)
         if listed is None or (listed is not self.endpoint and listed.build != self.endpoint.build):
@@ -70,5 +78,5 @@
         return listed.condition is Condition.READY and fleet.cap(self.endpoint.build) >= self.cap
 
     def on_result(self, reply: EndpointReply) -> None:
-        """Pass its one result on."""
+        """Pass the attempt's single result to the dispatcher."""
         self.dispatcher.on_attempt_result(self.request, self.number, self.endpoint.index, self.started, reply)
