--- a/gatebank/proxy/buffers.py
+++ b/gatebank/proxy/buffers.py
@@ -1,4 +1,4 @@
-"""What receive buffers of all protocols share: the memory that they may grow by, and their error."""
+"""Interface of the receive buffers of all protocols, their shared memory budget and their error."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 
 
 class ProtocolError(GatebankError):
-    """What came is not of the protocol, or larger than allowed; the text says what."""
+    """Received data violates the protocol or exceeds a size limit; the message names the violation."""
 
 
 class MemoryBudget:
-    """Bytes that many buffers share for what they grow beyond their first room."""
+    """Memory that many buffers share for their growth beyond the initial size."""
 
     def __init__(self, size: int) -> None:
         self.available = size
 
     def reserve(self, size: int) -> bool:
-        """Take so many bytes, if they are left; who took them gives them back by adding to ``left``."""
+        """Reserve ``size`` bytes, if available; the caller releases them by adding to ``available``."""
         fits = size <= self.available
         self.available -= size if fits else 0
         return fits
 
 
 class ReceiveBuffer(Protocol):
-    """One connection's buffer, which finds the protocol's messages in what was read into it.
+    """Receive buffer of one connection, which finds the protocol's messages in the received bytes.
 
     Attributes:
-        data: What was read and is not used up ends at ``end``.
+        data: The underlying memory.
+        end: Offset in ``data`` of the end of the received bytes.
     """
 
     data: bytearray | bytes
@@ -36,17 +37,17 @@
 
     @property
     def incomplete_bytes(self) -> int:
-        """Bytes of a message that is not whole yet."""
+        """Number of received bytes of an incomplete message."""
 
     def free_space(self) -> memoryview:
-        """Where the next read goes; ends the life of all slices given out.
+        """Return the memory for the next read; invalidates all slices returned before.
 
         Raises:
-            ProtocolError: A message does not fit what is allowed.
+            ProtocolError: A message exceeds the size limit.
         """
 
     def commit(self, size: int) -> None:
-        """Count bytes that were read into `room`."""
+        """Add ``size`` bytes that were read into `free_space` to the received bytes."""
 
     def close(self) -> None:
-        """Give back what was taken of the allowance."""
+        """Return the memory reserved from the memory budget."""
--- a/gatebank/proxy/clock.py
+++ b/gatebank/proxy/clock.py
@@ -1,4 +1,4 @@
-"""The clock of an instance."""
+"""Clock of an instance."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 class Clock:
     """Unix time in seconds that never runs backwards.
 
-    The wall clock's at the start, then the steady one's.
+    The wall clock is read once at the start; from then on the monotonic clock advances the time.
     """
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
 
     def __call__(self) -> float:
-        """The time now."""
+        """Return the current time."""
         return self.offset + time.monotonic()
--- a/gatebank/proxy/configuration.py
+++ b/gatebank/proxy/configuration.py
@@ -1,4 +1,4 @@
-"""What an instance is given at its start: the ROUTER_ variables and the configuration file, checked."""
+"""Configuration of an instance: reads and validates the ROUTER_ variables and the configuration file."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 from gatebank.errors import GatebankError
 from gatebank.settings import Settings, read_settings
 
-Address = tuple[str, int]  # IP address and port
+Address = tuple[str, int]  # IP address and port.
 MB = 1024 * 1024
 MAX_PORT = 65535
-EMPTY_PROCESS_BYTES = 30 * MB  # what a process holds that serves nobody: 25 to 26 MB measured
-MIN_SPARE_BYTES = 2 * MB  # however small the memory limit is
+IDLE_PROCESS_BYTES = 30 * MB  # Memory reserved for an idle process; 25 to 26 MB were measured.
+MIN_SPARE_BYTES = 2 * MB  # Lower bound on the spare memory, however small the memory limit is.
 DEFAULT_DESCRIPTORS = 1024
-MIN_DESCRIPTORS = 32  # 24 are kept for all but connections
+MIN_DESCRIPTORS = 32  # 24 of the descriptors are reserved for purposes other than connections.
 DEFAULT_MEMORY_MB = 192
 MIN_MEMORY_MB = 16
-MAX_MEMORY_MB = 1e6  # exclusive; what is larger is a slip of the pen
-# Variables that stand in for what the file lacks.
+MAX_MEMORY_MB = 1e6  # Exclusive upper bound; a larger value is assumed to be a typing error.
+# Environment variables that supply keys missing from the configuration file.
 FALLBACK_VARIABLES = {"name": "ROUTER_NAME", "listen": "ROUTER_LISTEN", "discovery": "ROUTER_DISCOVERY"}
 
 
 class ConfigurationError(GatebankError):
-    """An instance can't start so.
+    """An instance cannot start with this configuration.
 
     Attributes:
-        reason: What is wrong, with the place in the section it stands in.
-        field: The field that is wrong; empty where it is not one field's fault.
-        path: The file; empty where the caller adds it.
+        reason: Description of the error and its place within the section.
+        field: The invalid field; empty if the error does not concern a single field.
+        path: The configuration file; empty if the caller adds the path later.
     """
 
     def __init__(self, reason: str, *, field: str = "", path: str = "") -> None:
@@ -43,20 +43,22 @@
         self.path = path
 
     def at(self, path: str) -> ConfigurationError:
-        """The same error, with the file in which it was found."""
+        """Return the same error with the path of the file in which it was found."""
         return ConfigurationError(self.reason, field=self.field, path=path)
 
 
 @dataclass(slots=True, frozen=True)
 class MemoryBounds:
-    """Bytes for what may pile up, in parts of what the memory limit leaves beside an empty process.
+    """Memory limits in bytes, as shares of the memory that the limit leaves beside an idle process.
 
-    The parts add up to three quarters: the rest is for rows, first buffers and the allocator.
+    With ``buffer_growth_bytes`` counted for each side, the limits add up to three quarters of that memory;
+    the rest is for table rows, initial buffers and the allocator.
 
     Attributes:
-        commands: Of requests in flight.
-        answers: That clients have not taken.
-        buffers: Beyond their first room: for clients' and for endpoints' connections each.
+        request_bytes: Limit for the requests in flight.
+        unread_reply_bytes: Limit for replies that clients have not read yet.
+        buffer_growth_bytes: Limit for the growth of receive buffers beyond their initial size; applies to
+            client connections and to endpoint connections separately.
     """
 
     request_bytes: int
@@ -65,7 +67,7 @@
 
     @classmethod
     def within(cls, memory_mb: float) -> MemoryBounds:
-        """Share out a memory limit.
+        """Divide a memory limit.
 
         >>> bounds = MemoryBounds.within(192)
         >>> bounds.request_bytes, bounds.unread_reply_bytes, bounds.buffer_growth_bytes
@@ -73,25 +75,25 @@
         >>> MemoryBounds.within(32).buffer_growth_bytes
         262144
         """
-        spare = max(MIN_SPARE_BYTES, int(memory_mb * MB) - EMPTY_PROCESS_BYTES)
+        spare = max(MIN_SPARE_BYTES, int(memory_mb * MB) - IDLE_PROCESS_BYTES)
         return cls(spare // 8, 3 * spare // 8, spare // 8)
 
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """Where an instance stands and what it starts with.
+    """Addresses, limits, settings and initial control plane state of an instance.
 
     Attributes:
-        listen: Where clients connect.
-        discovery: Where the endpoint list is watched; None: it never changes.
-        release_service: None: there is none, and nothing is voted on.
-        initial_status: The release service's status as last known, as the file has it.
-        peer_listen: Where peers' datagrams come in; None: no messages to peers.
-        peers: All instances, this one too, by their number.
-        peer_broadcast: One address that reaches all peers.
-        seed: Of the balancer's chance.
-        descriptors: As many as the process may have.
-        initial_endpoints: The endpoint list as last known, as the file has it.
+        listen: Address on which clients connect.
+        discovery: Address of discovery; None if the endpoint list never changes.
+        release_service: Address of the release service; None if there is none, so that no votes are cast.
+        initial_status: Last known release status, in the form of the configuration file.
+        peer_listen: Address on which datagrams from peers arrive; None disables messages between peers.
+        peers: Addresses of all instances including this one, by instance number.
+        peer_broadcast: Address that reaches all peers.
+        seed: Seed of the balancer's random number generator.
+        descriptors: Number of file descriptors that the process may use.
+        initial_endpoints: Last known endpoint list, in the form of the configuration file.
     """
 
     name: str
@@ -110,47 +112,47 @@
 
 
 def parse_address(text: object, field: str) -> Address:
-    """Read an IP address and port; ``field`` names the place in errors.
+    """Parse an IP address and port; error messages name ``field``.
 
     >>> parse_address("127.0.0.4:6379", "listen"), parse_address("[::1]:7", "listen")
     (('127.0.0.4', 6379), ('::1', 7))
     >>> parse_address("somewhere:70000", "listen")
     Traceback (most recent call last):
-    gatebank.proxy.configuration.ConfigurationError: listen: 'somewhere:70000' is no IP address and port
+    gatebank.proxy.configuration.ConfigurationError: listen: 'somewhere:70000' is not an IP address and port
     """
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     host = host[1:-1] if host[:1] == "[" and host[-1:] == "]" else host
     try:
-        found = str(ip_address(host)), int(port) if port.isascii() and port.isdigit() else 0
+        result = str(ip_address(host)), int(port) if port.isascii() and port.isdigit() else 0
     except ValueError:
-        found = "", 0
-    if 0 < found[1] <= MAX_PORT:
-        return found
-    raise ConfigurationError(f"{text!r} is no IP address and port", field=field)
+        result = "", 0
+    if 0 < result[1] <= MAX_PORT:
+        return result
+    raise ConfigurationError(f"{text!r} is not an IP address and port", field=field)
 
 
 def parse_optional_address(text: object, field: str) -> Address | None:
-    """As `parse_address`; None where there is nothing."""
+    """Parse an address like `parse_address`; return None if there is none."""
     return None if text in (None, "") else parse_address(text, field)
 
 
 def load_configuration(environment: Mapping[str, str]) -> Configuration:
-    """Read the configuration from the variables, of which ROUTER_CONFIG names the file that holds the rest.
+    """Load the configuration from the environment variables and the file that ROUTER_CONFIG names.
 
     Raises:
-        ConfigurationError: With the file's path.
+        ConfigurationError: The configuration is missing or invalid; the error names the file.
     """
     path = environment.get("ROUTER_CONFIG")
     if not path:
         raise ConfigurationError("ROUTER_CONFIG is not set; it names the configuration file")
-    given = read_object(path)
+    document = read_object(path)
     fallbacks = {
         key: environment[variable]
         for key, variable in FALLBACK_VARIABLES.items()
         if environment.get(variable)
     }
     try:
-        return parse_configuration(fallbacks | given)
+        return parse_configuration(fallbacks | document)
     except ConfigurationError as error:
         raise error.at(path) from error
     except KeyError as error:
@@ -160,83 +162,87 @@
 
 
 def read_object(path: str) -> dict[str, Any]:
-    """Read a file that holds one JSON object."""
+    """Read a file that contains one JSON object."""
     try:
-        given = orjson.loads(Path(path).read_bytes())
+        document = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigurationError(str(error.strerror), path=path) from error
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError(f"no JSON: {error}", path=path) from error
-    if not isinstance(given, dict):
+        raise ConfigurationError(f"invalid JSON: {error}", path=path) from error
+    if not isinstance(document, dict):
         raise ConfigurationError("not a JSON object", path=path)
-    return given
+    return document
 
 
-def parse_configuration(given: Mapping[str, Any]) -> Configuration:
-    """Check a configuration as its file has it.
+def parse_configuration(document: Mapping[str, Any]) -> Configuration:
+    """Validate the contents of a configuration file.
 
     Raises:
-        ConfigurationError: It is incomplete or something in it is senseless.
+        ConfigurationError: The configuration is incomplete or invalid.
     """
-    settings = parse_settings(given.get("settings"))
-    limits = given.get("limits") or {}
-    release_service = given.get("platform") or {}
-    peers = given.get("peers") or []
-    initial_endpoints = given.get("known")
+    settings = parse_settings(document.get("settings"))
+    limits = document.get("limits") or {}
+    release_service = document.get("platform") or {}
+    peers = document.get("peers") or []
+    initial_endpoints = document.get("known")
     if not (isinstance(release_service, dict) and isinstance(peers, list) and isinstance(limits, dict)):
-        raise ConfigurationError("platform, peers or limits has the wrong form")
+        raise ConfigurationError("platform and limits must be JSON objects, and peers must be a JSON array")
     return Configuration(
-        seed=parse_seed(given),
+        seed=parse_seed(document),
         descriptors=parse_descriptors(limits),
         bounds=MemoryBounds.within(parse_memory_mb(limits)),
-        name=str(given.get("name", "marshal")),
-        listen=parse_address(given.get("listen"), "listen"),
-        discovery=parse_optional_address(given.get("discovery"), "discovery"),
+        name=str(document.get("name", "marshal")),
+        listen=parse_address(document.get("listen"), "listen"),
+        discovery=parse_optional_address(document.get("discovery"), "discovery"),
         release_service=parse_optional_address(release_service.get("address"), "platform.address"),
         initial_status=release_service.get("news"),
-        peer_listen=parse_optional_address(given.get("peer_listen"), "peer_listen"),
+        peer_listen=parse_optional_address(document.get("peer_listen"), "peer_listen"),
         peers=tuple(parse_address(peer, "peers") for peer in peers),
-        peer_broadcast=parse_optional_address(given.get("peers_all"), "peers_all"),
+        peer_broadcast=parse_optional_address(document.get("peers_all"), "peers_all"),
         initial_endpoints=initial_endpoints if isinstance(initial_endpoints, dict) else None,
         settings=settings,
     )
 
 
-def parse_settings(given: object) -> Settings:
-    """Check the settings, which are shared by all instances but for their numbers."""
-    if not isinstance(given, dict):
+def parse_settings(document: object) -> Settings:
+    """Validate the settings; apart from the instance number, all instances share them."""
+    if not isinstance(document, dict):
         raise ConfigurationError("missing or not an object", field="settings")
     for key, minimum in (("me", 0), ("balancers", 1)):
-        if not isinstance(given.get(key), int) or given[key] < minimum:
-            raise ConfigurationError(f"{key} is no number of at least {minimum}", field="settings")
+        if not isinstance(document.get(key), int) or document[key] < minimum:
+            raise ConfigurationError(f"{key} must be an integer of at least {minimum}", field="settings")
     try:
-        settings = read_settings(given)
+        settings = read_settings(document)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigurationError(f"{type(error).__name__} {error}", field="settings") from error
-    if not settings.request_classes or not all("name" in each for each in given["classes"]):
-        raise ConfigurationError("a workload has no name, or there is none", field="settings")
+    if not settings.request_classes or not all(
+        "name" in request_class for request_class in document["classes"]
+    ):
+        raise ConfigurationError(
+            "classes must hold at least one request class, each with a name", field="settings"
+        )
     return settings
 
 
-def parse_seed(given: Mapping[str, Any]) -> int:
-    """The seed, a hexadecimal number; 0 where there is none."""
+def parse_seed(document: Mapping[str, Any]) -> int:
+    """Parse the seed, a hexadecimal number; return 0 if there is none."""
     try:
-        return int(str(given.get("seed", 0)), 16)
+        return int(str(document.get("seed", 0)), 16)
     except ValueError:
-        raise ConfigurationError(f"{given['seed']!r} is no hexadecimal number", field="seed") from None
+        raise ConfigurationError(f"{document['seed']!r} is not a hexadecimal number", field="seed") from None
 
 
 def parse_descriptors(limits: Mapping[str, Any]) -> int:
-    """How many descriptors the process may have."""
+    """Return the number of file descriptors that the process may use."""
     descriptors = limits.get("sockets", DEFAULT_DESCRIPTORS)
     if not isinstance(descriptors, int) or descriptors < MIN_DESCRIPTORS:
-        raise ConfigurationError(f"sockets is no number of at least {MIN_DESCRIPTORS}", field="limits")
+        raise ConfigurationError(f"sockets must be an integer of at least {MIN_DESCRIPTORS}", field="limits")
     return descriptors
 
 
 def parse_memory_mb(limits: Mapping[str, Any]) -> float:
-    """How many MB of memory the process may take."""
+    """Return the memory limit of the process in MB."""
     memory: float = limits.get("memory_mb", DEFAULT_MEMORY_MB)
     if type(memory) not in (int, float) or not MIN_MEMORY_MB <= memory < MAX_MEMORY_MB:
-        raise ConfigurationError(f"memory_mb is no number of at least {MIN_MEMORY_MB}", field="limits")
+        raise ConfigurationError(f"memory_mb must be a number of at least {MIN_MEMORY_MB}", field="limits")
     return memory
--- a/gatebank/proxy/http.py
+++ b/gatebank/proxy/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a caller, parsed by httptools: one call on a connection, or an answer that stays open."""
+"""HTTP/1.1 client based on httptools: single calls, and replies that stay open as a stream."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from gatebank.proxy.configuration import Address
 from gatebank.proxy.sockets import open_socket, peek_receive_state
 
-MAX_BODY_BYTES = 8 * 1024 * 1024  # an endpoint list of some ten thousand
+MAX_BODY_BYTES = 8 * 1024 * 1024  # Enough for a list of some ten thousand endpoints.
 READ_BYTES = 16 * 1024
 FORM_TYPE = "application/x-www-form-urlencoded"
 
 
 class NoReplyError(GatebankError):
-    """The call came to nothing.
+    """A call got no complete reply.
 
     Attributes:
-        arrived: It may have been carried out all the same.
+        may_have_arrived: True if the server may have carried out the call nevertheless.
     """
 
     def __init__(self, reason: str, arrived: bool) -> None:
@@ -31,16 +31,16 @@
 
 
 class HttpReply(NamedTuple):
-    """A whole answer."""
+    """A complete reply."""
 
     status: int
     body: bytes
 
 
 class HttpClient:
-    """Calls one address; owns a socket and a buffer. `close` gives both back, and every failure calls it.
+    """Sends calls to one address; owns a socket and a buffer.
 
-    The on_ methods are httptools' callbacks.
+    `close` closes the socket; every failure calls it. The ``on_`` methods are callbacks for httptools.
     """
 
     def __init__(self, address: Address) -> None:
@@ -56,91 +56,100 @@
         self.status = 0
 
     def on_message_begin(self) -> None:
-        """An answer begins; a second one to the same call spoils the connection."""
+        """Handle the start of a reply; a second reply to the same call makes the connection unusable."""
         self.messages_begun += 1
         self.keeps_alive = self.messages_begun == 1
 
     def on_body(self, part: bytes) -> None:
-        """A part of a body; what lies behind the answer is none of it."""
+        """Collect a part of the body; data after the first reply is ignored."""
         if self.messages_begun == 1:
             self.body.append(part)
 
     def on_message_complete(self) -> None:
-        """An answer is whole."""
+        """Handle the end of a reply."""
         if self.messages_begun == 1:
             self.done = True
             self.keeps_alive = self.parser.should_keep_alive()
             self.status = self.parser.get_status_code()
 
     def close(self) -> None:
-        """Give the socket back."""
+        """Close the socket."""
         if self.sock:
             self.sock.close()
         self.sock = None
 
-    async def call(self, method: str, target: str, limit: float, form: str | None = None) -> HttpReply:
-        """One call and its answer within ``limit`` seconds; the connection is kept if both sides want it.
+    async def call(self, method: str, target: str, time_limit: float, form: str | None = None) -> HttpReply:
+        """Make one call; the connection is kept open if both sides allow it.
+
+        Args:
+            method: HTTP method.
+            target: Path and query.
+            time_limit: Seconds within which the reply must be complete.
+            form: Body of the request, a URL-encoded form; None for no body.
 
         Raises:
-            NoReplyError: There is no whole answer.
+            NoReplyError: There was no complete reply in time.
         """
         request_sent = False
         try:
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(time_limit):
                 await self.send(method, target, form)
                 request_sent = True
                 while not self.done:
                     await self.read()
         except TimeoutError:
             self.close()
-            raise NoReplyError("no answer in time", request_sent) from None
-        except BaseException:  # also a cancellation: what is half read can't be used again
+            raise NoReplyError("no complete reply in time", request_sent) from None
+        except BaseException:  # Includes cancellation: a connection with a half-read reply cannot be reused.
             self.close()
             raise
         if not self.keeps_alive:
             self.close()
         return HttpReply(self.status, b"".join(self.body))
 
-    async def stream(self, target: str, silence: float) -> AsyncGenerator[bytes, None]:
-        """An answer that stays open, as it comes.
+    async def stream(self, target: str, idle_timeout: float) -> AsyncGenerator[bytes, None]:
+        """Yield the parts of a reply that stays open, as they arrive.
+
+        Args:
+            target: Path and query.
+            idle_timeout: Seconds without data after which the stream counts as dead.
 
         Raises:
-            NoReplyError: It has ended, or nothing came for ``silence`` seconds.
+            NoReplyError: The stream ended, or no data arrived for ``idle_timeout`` seconds.
         """
         try:
-            async with asyncio.timeout(silence) as limit:
+            async with asyncio.timeout(idle_timeout) as limit:
                 await self.send("GET", target, None)
                 error: NoReplyError | None = None
                 while not self.done and not error:
                     try:
                         await self.read()
-                    except NoReplyError as found:  # what came before it is passed on first
-                        error = found
+                    except NoReplyError as failure:  # Data received before the error is passed on first.
+                        error = failure
                     parts = self.body
                     self.body = []
-                    limit.reschedule(self.loop.time() + silence)
+                    limit.reschedule(self.loop.time() + idle_timeout)
                     for part in parts:
                         yield part
             raise error or NoReplyError("the stream ended", True)
         except TimeoutError:
-            raise NoReplyError("nothing came, not even a sign of life", True) from None
+            raise NoReplyError("the stream was silent, without even a keep-alive", True) from None
         finally:
             self.close()
 
     async def send(self, method: str, target: str, form: str | None) -> None:
-        """Send one request, on the connection that was kept if it can be used.
+        """Send one request, on the connection kept from the last call if it is still usable.
 
         Raises:
-            NoReplyError: Its last byte was not written.
+            NoReplyError: The request was not written completely.
         """
         request = self.encode(method, target, form)
         self.parser = httptools.HttpResponseParser(self)
         self.body = []
         self.done = False
         self.messages_begun = 0
-        if self.sock and peek_receive_state(
-            self.sock
-        ):  # it ended, or holds what this request did not ask for
+        # A kept connection is unusable if it has ended or holds data that no request asked for.
+        if self.sock and peek_receive_state(self.sock):
             self.close()
         try:
             sock = await self.open()
@@ -150,7 +159,7 @@
             raise NoReplyError(str(error), False) from error
 
     def encode(self, method: str, target: str, form: str | None) -> bytes:
-        """A request's bytes."""
+        """Return the bytes of a request."""
         host = f"{self.address[0]}:{self.address[1]}"
         lines = [f"{method} {target} HTTP/1.1", f"Host: {host}", "Accept: */*"]
         if form is not None:
@@ -158,17 +167,17 @@
         return ("\r\n".join(lines) + "\r\n\r\n" + (form or "")).encode()
 
     async def open(self) -> socket.socket:
-        """The connection; a new one where none was kept."""
+        """Return the connection, opening a new one if none was kept."""
         if not self.sock:
             self.sock = open_socket(self.address)
             await self.loop.sock_connect(self.sock, self.address)
         return self.sock
 
     async def read(self) -> None:
-        """One read into the parser.
+        """Read once from the socket and feed the bytes to the parser.
 
         Raises:
-            NoReplyError: The connection ended, or what came is no HTTP or too long.
+            NoReplyError: The connection ended, or the data is not HTTP or exceeds MAX_BODY_BYTES.
         """
         assert self.sock
         try:
@@ -179,9 +188,10 @@
             raise NoReplyError(str(error), True) from error
         except httptools.HttpParserError as error:
             if not self.done:
-                raise NoReplyError(f"no HTTP: {error}", True) from error
-            self.keeps_alive = False  # noise behind a whole answer: that stands, the connection does not
+                raise NoReplyError(f"the reply is not valid HTTP: {error}", True) from error
+            # Invalid data after a complete reply: the reply is valid, but the connection must be closed.
+            self.keeps_alive = False
         if not size:
             raise NoReplyError("the connection ended", True)
         if sum(map(len, self.body)) > MAX_BODY_BYTES:
-            raise NoReplyError("the answer is too long", True)
+            raise NoReplyError("the reply is too long", True)
--- a/gatebank/proxy/log.py
+++ b/gatebank/proxy/log.py
@@ -1,4 +1,4 @@
-"""Log lines as key=value, one event a line, on standard error; on-call tools read event names and keys."""
+"""Logging of events as key=value lines on standard error; on-call tools read the event names and keys."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def log_kv(event: str, level: int = logging.INFO, **keys: object) -> None:
-    """Log an event with its keys."""
+    """Log an event whose keys are the keyword arguments."""
     log_event(event, keys, level)
 
 
 def log_event(event: str, keys: Mapping[str, object], level: int = logging.INFO) -> None:
-    """Log an event whose keys are made by the caller."""
+    """Log an event whose keys are in a mapping."""
     LOG.log(level, event, extra={"keys": keys})
 
 
 def log_fault(**keys: object) -> None:
-    """Log the exception that is being handled, with its place; called at boundaries that catch all."""
+    """Log the exception that is being handled, with its location; for handlers that catch all exceptions."""
     LOG.exception("fault", extra={"keys": keys})
 
 
 def format_value(value: object) -> str:
-    r"""A value as it stands in a line; quoted where it would not read as one word.
+    r"""Format a value for a log line; quoted if it would not read as a single word.
 
     >>> format_value(0.25), format_value("cut"), format_value('no "such" node')
     ('0.25', 'cut', '"no \\"such\\" node"')
@@ -41,10 +41,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats a record as key=value, with time, level and event first."""
+    """Formats a record as key=value pairs, starting with time, level and event."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """One line without its end."""
+        """Return the log line without the line end."""
         keys: dict[str, object] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -57,7 +57,7 @@
 
 
 def innermost_location(error: BaseException) -> str:
-    """File and line of the innermost frame."""
+    """Return the file name and line number of the innermost frame."""
     trace = error.__traceback__
     while trace and trace.tb_next:
         trace = trace.tb_next
@@ -65,9 +65,10 @@
 
 
 class NonBlockingHandler(logging.Handler):
-    """Writes a line only where it surely fits: a log taken late, or not at all, must not stop an instance.
+    """Writes a line only if the write cannot block: a slow or absent log reader must not stop the instance.
 
-    A pipe that is ready has room for PIPE_BUF bytes. Lines that found none are counted, and told of later.
+    A pipe that polls as writable accepts PIPE_BUF bytes. Lines that cannot be written are dropped; their
+    number is logged later.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -78,7 +79,7 @@
         self.ready.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write the record's line, behind one on lines dropped before."""
+        """Write the record's line, preceded by a line that reports dropped lines, if there are any."""
         line = self.format(record)
         if self.dropped:
             at = f"{record.created:.3f}"
@@ -93,7 +94,7 @@
             fits = bool(self.ready.poll(0))
             if fits:
                 os.write(self.descriptor, line.encode()[: select.PIPE_BUF - 1] + b"\n")
-        except OSError:  # nobody is there any more
+        except OSError:  # The reader has closed the pipe.
             fits = False
         if not fits:
             self.dropped += 1
@@ -101,7 +102,7 @@
 
 
 def configure_logging(level: str) -> None:
-    """Log to standard error from this level on: debug, info, warning or error."""
+    """Configure logging to standard error from a level on: debug, info, warning or error."""
     handler = NonBlockingHandler(sys.stderr.fileno())
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(handlers=[handler], level=level.upper(), force=True)
--- a/gatebank/proxy/log_events.py
+++ b/gatebank/proxy/log_events.py
@@ -1,7 +1,7 @@
-"""The catalogue of log events: each event's name and its keys, defined once.
+"""Catalogue of log events: the name and the keys of each event, defined in one place.
 
-On-call tools and docs/oncall.md know them by these names; tests/test_log_events.py compares the catalogue
-with the page and with what the source logs.
+On-call tools and docs/oncall.md use these names; tests/test_log_events.py compares the catalogue with the
+page and with the events that the source logs.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """One event.
+    """One log event.
 
     Attributes:
-        name: As it stands behind ``event=``.
-        keys: All that may stand in its line, in their order.
-        more_keys: The line has further keys, counts by what happened.
-        debug_only: It is logged at debug level alone.
+        name: Name of the event, the value of ``event=``.
+        keys: All keys that a line of the event may have, in order.
+        more_keys: True if a line has further keys, such as counters.
+        debug_only: True if the event is logged only at debug level.
     """
 
     name: str
@@ -36,7 +36,7 @@
     LogEvent("standing", STANDING_KEYS, more_keys=True),
     LogEvent("leaving", ("in_hand",)),
     LogEvent("gone", ("in_hand",)),
-    # The control plane.
+    # Control plane.
     LogEvent("roll", ("version", "whole", "entries")),
     LogEvent("roll_lost", ("why",)),
     LogEvent("roll_back", ("version",)),
@@ -61,7 +61,7 @@
     LogEvent("unanswered", ("workload",)),
     LogEvent("shot", ("id", "ending", "build", "node", "workload", "took"), debug_only=True),
     LogEvent("answered", ("id", "how", "workload", "shots"), debug_only=True),
-    # The program itself.
+    # The process itself.
     LogEvent("note", ("text",)),
     LogEvent("fault", ("in", "act", "trouble", "place")),
     LogEvent("log_dropped", ("lines",)),
--- a/gatebank/proxy/messages.py
+++ b/gatebank/proxy/messages.py
@@ -1,4 +1,4 @@
-"""What passes between clients' side, dispatcher and endpoints' side, in no protocol's form."""
+"""Protocol-independent data passed between the client side, the dispatcher and the endpoint side."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class CommandError(GatebankError):
-    """A command that can't be carried out.
+    """A client's command cannot be executed.
 
     Attributes:
-        reason: What is wrong, as the client's error line says it.
+        reason: Text of the error reply to the client.
     """
 
     def __init__(self, reason: str) -> None:
@@ -24,14 +24,14 @@
 
 
 class RequestClassRef(NamedTuple):
-    """A request class as the balancer knows it."""
+    """Reference to a request class of the settings."""
 
     class_index: int
     retry_safety: RetrySafety
 
 
 def request_classes_by_name(settings: Settings) -> dict[str, RequestClassRef]:
-    """The request classes of the settings, by the name that clients use."""
+    """Return the request classes of the settings by the names that clients use."""
     return {
         request_class.name: RequestClassRef(index, request_class.retry_safety)
         for index, request_class in enumerate(settings.request_classes)
@@ -39,23 +39,26 @@
 
 
 def tenants_by_name(settings: Settings) -> dict[str, int]:
-    """Indices of the tenants, by the name that clients use."""
+    """Return the indices of the tenants by the names that clients use."""
     return {tenant.name: index for index, tenant in enumerate(settings.tenants)}
 
 
-@dataclass(slots=True)  # not frozen: one is made for each request, and a frozen one takes three times as long
+# Not frozen: an instance is created for each request, and creating a frozen one takes three times as long.
+@dataclass(slots=True)
 class ClientRequest:
-    """A request as a client wrote it, copied: it outlives the buffer, as it may need several attempts.
+    """A request as the client sent it.
+
+    The contents are copied from the receive buffer, because the request may need several attempts.
 
     Attributes:
-        id: The client's own name for it.
+        id: Request id chosen by the client.
         request_class: Index of the request class.
-        tenant: Index of the tenant; 0 where the settings have none.
-        timeout: Seconds that the client waits.
-        cost_hint: Seconds that the client expects it to take; None if it does not say.
+        tenant: Index of the tenant; 0 if the settings define no tenants.
+        timeout: Seconds that the client waits for the answer.
+        cost_hint: Processing time in seconds that the client expects; None if the client sent no hint.
         key: Hash of the routing key.
-        is_client_retry: The client says that it sent it before.
-        size: Bytes held.
+        is_client_retry: True if the client marked the request as a retry.
+        size: Memory held by the request, in bytes.
     """
 
     id: bytes
@@ -68,16 +71,17 @@
     size: int
 
     def command(self, timeout: float) -> bytes:
-        """Encode it for an endpoint that has ``timeout`` seconds for it, in its protocol."""
+        """Encode the request in the endpoint's protocol, with ``timeout`` seconds left to process it."""
         raise NotImplementedError
 
 
 class EndpointReply(NamedTuple):
-    """How an attempt ended and what the endpoint said.
+    """Outcome of an attempt and the contents of the endpoint's reply.
 
     Attributes:
-        value: The endpoint's answer, a slice of its connection's buffer: good until the next read.
-        load_report: Figures in the order of the settings' report fields.
+        value: Value in the reply, a slice of the connection's receive buffer that is valid until the next
+            read.
+        load_report: Numbers of the load report, in the order of the settings' report fields.
     """
 
     outcome: Outcome
--- a/gatebank/proxy/sockets.py
+++ b/gatebank/proxy/sockets.py
@@ -1,4 +1,4 @@
-"""Opening sockets and giving them back, the same way for all who own one."""
+"""Helpers to open, inspect and close sockets, shared by all modules that own one."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 class ConnectionRecording(Protocol):
-    """Who hears of a connection that is recorded: side 0 opened it and asks, side 1 replies."""
+    """Recording of one connection: side 0 opened the connection and sends requests, side 1 replies."""
 
     def record_request_bytes(self, data: bytes, comment: str = "") -> None:
-        """Bytes of side 0."""
+        """Record bytes sent by side 0."""
 
     def record_reply_bytes(self, data: bytes, comment: str = "") -> None:
-        """Bytes of side 1."""
+        """Record bytes sent by side 1."""
 
     def record_end(self, side: int, abrupt: bool = False, comment: str = "") -> None:
-        """The connection ended, by this side."""
+        """Record that ``side`` ended the connection."""
 
 
-# Begins the recording of a connection that has come up; None where that side is not recorded.
+# Starts recording an established connection; returns None if connections of that kind are not recorded.
 StartRecording = Callable[[socket.socket], ConnectionRecording | None]
 
 
 def open_socket(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
-    """Open a socket that blocks nobody and, for a stream, holds no small message back.
+    """Create a non-blocking socket; for a TCP socket, disable the delay of small packets (Nagle's algorithm).
 
     Raises:
-        OSError: No descriptor is left, or the address family is unknown here.
+        OSError: No descriptor is left, or the system does not support the address family.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, kind | socket.SOCK_NONBLOCK)
@@ -47,7 +47,7 @@
 
 
 def cancel_and_close(sock: socket.socket, *tasks: asyncio.Task[None] | None) -> None:
-    """Cancel the tasks that read and write, but the caller itself, and only then close the socket."""
+    """Cancel the socket's tasks, except the current task, and close the socket afterwards."""
     for task in tasks:
         if task and task is not asyncio.current_task():
             task.cancel()
@@ -55,11 +55,11 @@
 
 
 class PendingOperation:
-    """An operation on a socket that a task waits for, one at a time.
+    """Tracks the socket operation that a task is waiting for, one at a time.
 
-    The loop ends it as the socket becomes ready, but the task goes on only later, and what runs in between
-    finds nothing in the kernel any more: a read may have brought a whole command, an accept a connection.
-    ``done`` tells so.
+    The event loop completes the operation when the socket becomes ready, but the task resumes later. Code
+    that runs in between no longer finds the data in the kernel, although a read may have received a complete
+    command or an accept a connection. ``done`` detects this state.
     """
 
     __slots__ = ("future",)
@@ -69,22 +69,22 @@
 
     @property
     def done(self) -> bool:
-        """It has ended, and its task has not gone on yet."""
+        """Whether the operation has completed but its task has not resumed yet."""
         return self.future is not None and self.future.done()
 
     @coroutine
     def run(self, operation: Coroutine[Any, Any, Result]) -> Generator[Any, Any, Result]:
-        """Await the operation: what it waits for is handed on, and kept in sight."""
+        """Await the operation, and keep a reference to the future that the operation is waiting for."""
         steps = operation.__await__()
         try:
             self.future = steps.send(None)
             while True:
                 try:
-                    found = yield self.future
-                except BaseException as error:  # a cancellation too is the operation's to handle
+                    value = yield self.future
+                except BaseException as error:  # The operation also handles cancellation itself.
                     self.future = steps.throw(error)
                 else:
-                    self.future = steps.send(found)
+                    self.future = steps.send(value)
         except StopIteration as ended:
             result: Result = ended.value
             return result
@@ -93,13 +93,16 @@
 
 
 class WatchLease:
-    """Who watches one address of a control plane service.
+    """Tracks the handover between watches of successive addresses of a control plane service.
 
-    What that address has written to this instance counts as received (PROTOCOL), so a turn ends only with the
-    first message of the next: until then it goes on, and ends by itself as its connection does.
+    By the protocol, whatever an address has written to this instance counts as received. The watch of the
+    previous address therefore continues until the next one receives its first message, or until its own
+    connection ends.
 
     Attributes:
-        over: The next turn has begun: this one lasts only as long as its connection.
+        previous: Lease of the preceding watch, while that watch is still active.
+        is_superseded: True once a newer lease exists; the watch then ends with its connection.
+        task: Task of the watch, set by its owner.
     """
 
     __slots__ = ("is_superseded", "previous", "task")
@@ -116,32 +119,33 @@
             previous.is_superseded = True
 
     def on_first_message(self) -> None:
-        """The first message has come from here: the turns before are over for good."""
+        """End the preceding watches, because this watch has received its first message."""
         if self.previous:
             self.previous.close()
         self.previous = None
 
     def close(self) -> None:
-        """End this turn and those before."""
+        """End this watch and the preceding ones."""
         if self.task:
             self.task.cancel()
         self.on_first_message()
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """The other side has ended its sending or the connection is broken, whatever lies unread before that."""
+    """Return whether the peer has shut down sending or the connection is broken, even if data is unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
 
 
-SIOCOUTQNSD = 0x894B  # linux/sockios.h: bytes in the send queue that have not been sent, in an int
+SIOCOUTQNSD = 0x894B  # linux/sockios.h: returns the unsent bytes in the send queue as an int.
 
 
 def has_unsent_bytes(sock: socket.socket) -> bool:
-    """Bytes written to it wait here, as the other side has no room for them.
+    """Return whether written bytes wait in the send queue, because the peer has no room for them.
 
-    A close forgets them as soon as one byte comes that nobody reads. Where the system does not say, none are.
+    If the socket is closed, the system discards these bytes as soon as a byte arrives that nobody reads.
+    Returns False if the system does not provide the number.
     """
     try:
         return any(ioctl(sock, SIOCOUTQNSD, bytes(4)))
@@ -150,7 +154,7 @@
 
 
 def peek_receive_state(sock: socket.socket) -> int:
-    """Look without reading: 1 if bytes wait to be read, 0 if none, -1 if the connection has ended."""
+    """Peek at the receive queue: 1 if bytes wait there, 0 if none do, -1 if the connection has ended."""
     try:
         return 1 if sock.recv(1, socket.MSG_PEEK) else -1
     except BlockingIOError:
@@ -159,13 +163,13 @@
         return -1
 
 
-TCP_INFO_LAST_RECEIVED = slice(52, 56)  # linux/tcp.h, struct tcp_info: tcpi_last_data_recv, in ms
+TCP_INFO_LAST_RECEIVED = slice(52, 56)  # linux/tcp.h, struct tcp_info: tcpi_last_data_recv, in ms.
 
 
 def seconds_since_received(sock: socket.socket) -> float:
-    """Seconds since the last bytes of a TCP connection came to this machine, read or not.
+    """Return the seconds since the last bytes of a TCP connection arrived at this machine, read or not.
 
-    Where the system does not say it is 0.
+    Returns 0 if the system does not provide the time.
     """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVED.stop)
--- a/gatebank/proxy/stream.py
+++ b/gatebank/proxy/stream.py
@@ -1,7 +1,7 @@
-"""What a connection to a client and one to an endpoint do alike.
+"""Base class of client connections and endpoint connections.
 
-A `Stream` owns a socket, its receive buffer and the two tasks that read and write. How a connection writes
-differs between the two sides and stays with them.
+A `Stream` owns a socket, its receive buffer, and the two tasks that read and write. Writing differs between
+the two kinds of connections and is implemented by the subclasses.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class Stream:
-    """One TCP connection with a receive buffer; `release` gives back all that it owns.
+    """One TCP connection with a receive buffer; `release` releases all its resources.
 
     Attributes:
-        handling: A read has ended, and not all that it brought is used up yet.
-        closed: Nothing is read or written any more.
-        recording: Who records the connection; None if nobody does.
-        reader: The task that reads, begun by the subclass as the last thing of its making.
-        writer: The task that writes what the system did not take at once.
+        is_handling_read: True from the end of a read until its data is processed.
+        closed: True once nothing is read or written any more.
+        recording: Recording of the connection; None if the connection is not recorded.
+        reader: Task that reads; the subclass starts it as the last step of its construction.
+        writer: Task that writes the data that the system did not accept immediately.
     """
 
     reader: asyncio.Task[None]
@@ -31,12 +31,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
-        inbox: ReceiveBuffer,
+        receive_buffer: ReceiveBuffer,
         recording: ConnectionRecording | None,
     ) -> None:
         self.loop = loop
         self.sock = sock
-        self.receive_buffer = inbox
+        self.receive_buffer = receive_buffer
         self.recording = recording
         self.reading = PendingOperation()
         self.is_handling_read = False
@@ -44,18 +44,22 @@
         self.writer: asyncio.Task[None] | None = None
 
     def has_unread(self) -> bool:
-        """Tell whether bytes or an end of the connection wait that nobody has seen yet.
+        """Return whether bytes or the end of the connection have arrived but are not processed yet.
 
-        They may be in the kernel, in a read that ended before its task went on, or in the buffer.
+        They may be in the kernel, in a completed read whose task has not resumed, or in the receive buffer.
         """
         return self.is_being_read() or peek_receive_state(self.sock) != 0
 
     def is_being_read(self) -> bool:
-        """Tell whether a read has ended whose bytes are not used up yet."""
+        """Return whether a read has completed whose bytes are not processed yet."""
         return self.is_handling_read or self.reading.done
 
     def account_read(self, size: int) -> bytes | None:
-        """Account for a read of ``size`` bytes; returns a copy of them where the connection is recorded."""
+        """Account for a read of ``size`` bytes.
+
+        Returns:
+            A copy of the bytes if the connection is recorded, else None.
+        """
         self.is_handling_read = True
         self.receive_buffer.commit(size)
         if self.recording is None:
@@ -63,11 +67,11 @@
         return bytes(self.receive_buffer.data[self.receive_buffer.end - size : self.receive_buffer.end])
 
     def release(self, peer_side: int, comment: str = "") -> None:
-        """Give back buffer memory, tasks and socket.
+        """Release the buffer memory, the tasks and the socket.
 
         Args:
-            peer_side: The other end's side in a recording: 0 opened the connection, 1 accepted it.
-            comment: For the recording.
+            peer_side: Side of the peer in a recording: 0 opened the connection, 1 accepted it.
+            comment: Comment for the recording.
         """
         self.receive_buffer.close()
         if self.recording:
--- a/gatebank/proxy/supervisor.py
+++ b/gatebank/proxy/supervisor.py
@@ -1,7 +1,7 @@
-"""Tasks that must not end, each under a name.
+"""Supervision of named tasks that run as long as the instance.
 
-The answer to a failure is the same for all: it is logged as ``event=fault in=NAME``, and the task's work is
-begun again after a short delay. What a task owns it gives back before it fails.
+If a task fails, the failure is logged as ``event=fault in=NAME`` and the task's work is restarted after a
+short delay. A task must release its own resources before it fails.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 
 from gatebank.proxy.log import log_fault
 
-RESTART_DELAY_S = 0.2  # a fault that comes at once each time must not take the whole core
+RESTART_DELAY_S = 0.2  # Prevents a task that fails immediately each time from using a whole CPU core.
 
 Work = Callable[[], Awaitable[None]]
 
 
 async def run_forever(name: str, work: Work) -> None:
-    """Run ``work`` until it returns; a boundary that catches all, so that no fault ends a task for good."""
+    """Run ``work`` until it returns; every exception is logged, and ``work`` is then restarted."""
     while True:
         try:
             await work()
@@ -29,13 +29,13 @@
 
 
 class Supervisor:
-    """Owns the tasks that it starts; `close` cancels them."""
+    """Starts and owns supervised tasks; `close` cancels them."""
 
     def __init__(self) -> None:
-        self.tasks: list[asyncio.Task[None]] = []  # as many as there are names
+        self.tasks: list[asyncio.Task[None]] = []  # One task for each name.
 
     def start(self, name: str, work: Work) -> None:
-        """Begin a task; ``name`` stands in the log line of its faults."""
+        """Start a task; ``name`` appears in the log lines of its faults."""
         self.tasks.append(asyncio.ensure_future(run_forever(name, work)))
 
     def close(self) -> None:
