--- a/benchmarks/counting.py
+++ b/benchmarks/counting.py
@@ -66,7 +66,7 @@
     def ours() -> int:
         clock.now += 1 / size
         window.add(1 + clock.now, 1)
-        window.forget(clock.now)
+        window.expire(clock.now)
         return window.count(1)
 
     def walked() -> int:
--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -115,7 +115,7 @@
 
     def on_watch_failed(self) -> None:
         """The endpoint list could not be watched."""
-        self._start_timer(measurement.WATCH_AGAIN_S, WatchTimer())
+        self._start_timer(measurement.WATCH_RETRY_S, WatchTimer())
 
     def on_request(self, request: Request) -> None:
         """A request from a client."""
@@ -177,10 +177,10 @@
         passed = outcome is Outcome.SUCCESS
         endpoint.passed_health_checks = endpoint.passed_health_checks + 1 if passed else 0
         if endpoint.passed_health_checks < outlier.HEALTH_CHECKS_TO_RETURN:
-            self._start_timer(outlier.HEALTH_CHECK_EVERY_S, EjectionTimer(index))
+            self._start_timer(outlier.HEALTH_CHECK_INTERVAL_S, EjectionTimer(index))
             return
         endpoint.ejected = False
-        endpoint.failure_rate = outlier.RETURN_RATE
+        endpoint.failure_rate = outlier.FAILURE_RATE_ON_RETURN
         self.state.endpoints.groups.ejection_changed()
 
     def on_peer_message(self, peer: int, message: PeerMessage) -> None:
@@ -203,7 +203,7 @@
         """What the release service says of the newest build, or how it took a vote."""
         state = self.state
         if status.is_vote_reply:
-            state.voting.renew_at = state.now + rollout.renewal_delay(state, status.reply)
+            state.voting.renew_at = state.now + rollout.vote_renewal_delay(state, status.reply)
         if status.reply is not ReplyStatus.ACCEPTED or status.build is None or status.stage is None:
             return
         last = state.release
@@ -226,9 +226,9 @@
         inheritance.inherit_window(state, inherited)
         for index, inherited_endpoint in inherited.endpoints.items():
             endpoint = state.endpoints.by_index.get(index)
-            if endpoint is None or endpoint.results >= measurement.OWN_RESULTS:
+            if endpoint is None or endpoint.results >= measurement.MIN_OWN_RESULTS:
                 continue
-            inheritance.inherit_endpoint(state, endpoint, inherited_endpoint, slow_start.PEER_RATE_S)
+            inheritance.inherit_endpoint(state, endpoint, inherited_endpoint, slow_start.PEER_RATE_LIFETIME_S)
             eject = inherited_endpoint.ejected and not endpoint.ejected
             if eject and outlier.may_eject_one_more(state, endpoint):
                 self._eject(endpoint, inherited_endpoint.ejection_time, check_after=0.0)
@@ -251,7 +251,7 @@
         if is_canary and not exposure.cap_allows(state, request, record.build, more=0):
             return False
         started_at = request.attempts[attempt].started_at
-        state.traffic.sent_to(record.build).move(started_at, record.request_class, state.now)
+        state.traffic.sent_to(record.build).restamp(started_at, record.request_class, state.now)
         return True
 
     # A request's way.
@@ -312,7 +312,7 @@
         endpoint.outstanding -= 1
         endpoint.results += 1
         state.outstanding_by_endpoint.ended(endpoint, attempt.request_class)
-        side = measurement.side_of(state, attempt)
+        side = measurement.report_side(state, attempt)
         learn_latency(state, attempt, result, side, measurement.LATENCY_WEIGHTS)
 
     def _attribute(self, request: RequestState | None, ended: SuspectedError) -> None:
@@ -342,7 +342,7 @@
             state.endpoints.groups.ejection_changed()
         if result.outcome in NEVER_RAN:
             return
-        deltas = evidence.judge(state, attempt, result)
+        deltas = evidence.evaluate_result(state, attempt, result)
         if deltas is None:
             return
         for delta in deltas:
@@ -352,7 +352,7 @@
     def _eject(self, endpoint: EndpointState, wanted_time: float, check_after: float | None = None) -> None:
         endpoint.ejected = True
         endpoint.passed_health_checks = 0
-        endpoint.ejection_time = outlier.ejection_time(wanted_time)
+        endpoint.ejection_time = outlier.clamp_ejection_time(wanted_time)
         delay = endpoint.ejection_time if check_after is None else check_after
         self._start_timer(delay, EjectionTimer(endpoint.listed.index))
 
@@ -362,8 +362,8 @@
         """Another build is the newest: what was usual before it came is kept to compare with."""
         state = self.state
         latencies = state.latencies
-        latencies.before_canary = {} if is_first else evidence.known_latencies(state)
-        latencies.load_before_canary = load_per_endpoint(state, outlier.UNRESPONSIVE_AT)
+        latencies.before_canary = {} if is_first else evidence.reliable_baseline_latencies(state)
+        latencies.load_before_canary = load_per_endpoint(state, outlier.UNRESPONSIVE_SILENCE)
         latencies.busy_until = state.now
         state.canary_seen = False
         for endpoint in state.endpoints.by_index.values():
@@ -383,7 +383,7 @@
         verdict = rollout.vote_to_cast(state)
         if verdict is None or state.test is None or state.release is None:
             return
-        state.voting.cast(state.test, verdict, state.now, rollout.renew_at(state))
+        state.voting.cast(state.test, verdict, state.now, rollout.unanswered_vote_retry_at(state))
         build = state.test.build
         stage = state.release.stage
         self.actions.append(CastVote(build, stage or 0, verdict))
@@ -411,12 +411,12 @@
             stage = state.test.sums.stage
             sums = {r: each for r, each in enumerate(state.test.sums.own) if each.outcomes}
             state.test.sums.reset_unsent()
-        outstanding = outstanding_attempts(state, outlier.UNRESPONSIVE_AT)
+        outstanding = outstanding_attempts(state, outlier.UNRESPONSIVE_SILENCE)
         loads = state.traffic.loads(measurement.RATE_WINDOW_S)
         report = InstanceReport(state.incarnation, build, stage, state.traffic.rate, outstanding, loads, sums)
         self._send_to_fusers(report)
-        if rollout.reports_fleet(state):
-            reports = state.fleet.recent_reports(state.now - rollout.FLEET_MEMORY_S)
+        if rollout.should_report_fleet(state):
+            reports = state.fleet.recent_reports(state.now - rollout.REPORT_LIFETIME_S)
             fleet_report = merge_reports([*reports, report], state.voting.leaning)
             self._take_fleet_report(state.settings.instance, fleet_report)
             self._send(None, fleet_report)
@@ -424,7 +424,7 @@
     def _take_fleet_report(self, sender: int, report: FleetReport) -> None:
         state = self.state
         class_count = len(state.settings.request_classes)
-        minimum = rollout.MIN_MEAN_ANSWERS
+        minimum = rollout.MIN_ANSWERS_PER_SECOND
         state.fleet.take(sender, report, state.now, class_count=class_count, minimum=minimum)
         means = [estimate.mean for estimate in state.latencies.by_class]
         longest = max(means + state.fleet.latencies())
@@ -440,12 +440,12 @@
         """What only time changes."""
         state = self.state
         self._start_timer(measurement.TICK_S, Tick())
-        measurement.forget_traffic(state)
+        measurement.expire_traffic(state)
         state.traffic.update_rates(state.now - state.started_at, measurement.RATE_WINDOWS)
-        if state.now >= state.fleet.received_at + rollout.FLEET_MEMORY_S:
+        if state.now >= state.fleet.received_at + rollout.REPORT_LIFETIME_S:
             state.fleet.forget_report()
         if state.test:
-            evidence.watch_load(state)
+            evidence.update_busy_until(state)
         self._ticks += 1
         if rollout.report_is_due(state, self._ticks):
             self._report()
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -61,13 +61,13 @@
     def forget(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
         """Drop what is older than these times."""
         for window in (self.accepted, *self.sent.values()):
-            window.forget(exposure_before)
+            window.expire(exposure_before)
         self.sent = {build: window for build, window in self.sent.items() if window}
         while self.finished and self.finished[0].at < rates_before:
             self.finished.popleft()
-        self.arrivals.forget(arrivals_before)
-        self.served.forget(rates_before)
-        self.first_tries.forget(rates_before)
+        self.arrivals.expire(arrivals_before)
+        self.served.expire(rates_before)
+        self.first_tries.expire(rates_before)
 
     def update_rates(self, since_start: float, windows: RateWindows) -> None:
         """The rates of first tries, as of now."""
--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -4,7 +4,7 @@
 from gatebank.core.request_state import RequestState
 from gatebank.core.state import BalancerState
 from gatebank.policy.measurement import RATE_WINDOW_S
-from gatebank.policy.outlier import UNRESPONSIVE_AT
+from gatebank.policy.outlier import UNRESPONSIVE_SILENCE
 
 WARM_UP_S = 2.0  # after the start nothing is shed: no rate is known
 QUIET_PER_ENDPOINT = 2  # so many outstanding attempts an endpoint are no queue: answers may come in bursts
@@ -15,13 +15,13 @@
 HELD_UP_PROBE_SHARE = 0.1  # of a held-up class goes on, to see when it ends
 
 
-def sheds(state: BalancerState, request: RequestState) -> bool:
+def should_shed(state: BalancerState, request: RequestState) -> bool:
     """Whether to reject it before queues tip, whatever fills them; what pays least for its work first."""
     # By Little's law an answer takes attempts outstanding over answers a second.
     held_up = state.fleet.held_up_classes
     served_window = state.traffic.served
     served = (len(served_window) - (served_window.count(*held_up) if held_up else 0)) / RATE_WINDOW_S
-    outstanding: float = outstanding_attempts(state, UNRESPONSIVE_AT)
+    outstanding: float = outstanding_attempts(state, UNRESPONSIVE_SILENCE)
     in_fleet: float = outstanding * state.settings.instance_count
     report = state.fleet.report
     if report:  # where traffic is thin, the fleet's figures decide
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -8,7 +8,7 @@
 from gatebank.core.state import BalancerState
 from gatebank.events import GIVEN_UP, AttemptResult, LatencyEstimate, Outcome, Phase
 from gatebank.peer_messages import LlrDelta
-from gatebank.policy.outlier import EJECT_AT, UNRESPONSIVE_AT
+from gatebank.policy.outlier import EJECTION_FAILURE_RATE, UNRESPONSIVE_SILENCE
 from gatebank.policy.sequential_test import SequentialTest, llr_step, odds_of
 from gatebank.policy.slow_start import is_warm
 
@@ -34,7 +34,9 @@
 INDEPENDENT_ENDPOINT_RATE = 8  # the same of one endpoint: what waits behind one pause is late together
 
 
-def judge(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> list[LlrDelta] | None:
+def evaluate_result(
+    state: BalancerState, attempt: AttemptRecord, result: AttemptResult
+) -> list[LlrDelta] | None:
     """Take a result into the baseline's figures or the canary's LLRs.
 
     Returns:
@@ -65,8 +67,8 @@
         _count_baseline(state, attempt, result, late and usual.mean > 0)
     elif state.test and attempt.build == state.test.build:
         outcomes = _error_statistics(attempt, result)
-        if state.test.oldest_endpoints(state.endpoints.groups).contain(attempt.endpoint):
-            outcomes += ((state.test.oldest, result.outcome is Outcome.ERROR),)
+        if state.test.oldest_endpoints(state.endpoints.groups).includes(attempt.endpoint):
+            outcomes += ((state.test.oldest_statistic, result.outcome is Outcome.ERROR),)
         deltas += [_move(state, state.test, statistic, attempt, bad) for statistic, bad in outcomes]
         if compared and usual.samples >= RELIABLE_SAMPLES:
             deltas.append(_move(state, state.test, Statistic.LATE, attempt, late and slower))
@@ -80,7 +82,7 @@
     return own
 
 
-def known_latencies(state: BalancerState) -> dict[tuple[int, int], LatencyEstimate]:
+def reliable_baseline_latencies(state: BalancerState) -> dict[tuple[int, int], LatencyEstimate]:
     """The baseline's usual times; the fleet's, where this instance has met too few answers itself."""
     keys = {*state.latencies.baseline, *state.fleet.baseline_latency}
     usual = {key: _usual_latency(state, key) for key in keys}
@@ -110,9 +112,9 @@
     return calm and drift > DRIFT and result.duration > LATE_EVERYWHERE_FACTOR * before
 
 
-def watch_load(state: BalancerState) -> None:
+def update_busy_until(state: BalancerState) -> None:
     """See whether there is more traffic than before the canary came; what waits outlasts a burst."""
-    if load_per_endpoint(state, UNRESPONSIVE_AT) >= BUSIER * state.latencies.load_before_canary:
+    if load_per_endpoint(state, UNRESPONSIVE_SILENCE) >= BUSIER * state.latencies.load_before_canary:
         state.latencies.busy_until = state.now + BACKLOG_S
 
 
@@ -126,7 +128,7 @@
 def _count_baseline(state: BalancerState, attempt: AttemptRecord, result: AttemptResult, late: bool) -> None:
     """What fails here too from now on is no fault of the canary; at failing endpoints it might hide it."""
     outcomes = (*_error_statistics(attempt, result), (Statistic.LATE, late))
-    healthy = attempt.endpoint.failure_rate < EJECT_AT
+    healthy = attempt.endpoint.failure_rate < EJECTION_FAILURE_RATE
     count_baseline(state.baseline_errors, outcomes, healthy, FADE, RECENT_WEIGHT)
 
 
@@ -134,12 +136,12 @@
     state: BalancerState, test: SequentialTest, statistic: int, attempt: AttemptRecord, bad: bool
 ) -> LlrDelta | None:
     """Count one outcome in one LLR; past Δ, what to tell the fusers."""
-    odds_of_statistic = test.same_odds_as.get(statistic, statistic)
+    odds_of_statistic = test.odds_aliases.get(statistic, statistic)
     step = llr_step(odds_of_statistic, bad, _p0(state, odds_of_statistic))
     if statistic == Statistic.LATE_EVERYWHERE and state.fleet.report:
         step *= min(1.0, INDEPENDENT_FLEET_RATE / max(1.0, state.fleet.report.request_rate))
     elif statistic == Statistic.LATE:
-        step *= min(1.0, INDEPENDENT_ENDPOINT_RATE / max(1.0, load_per_endpoint(state, UNRESPONSIVE_AT)))
+        step *= min(1.0, INDEPENDENT_ENDPOINT_RATE / max(1.0, load_per_endpoint(state, UNRESPONSIVE_SILENCE)))
     return test.sums.count_outcome(statistic, step, attempt.endpoint.listed.name_hash, state.random)
 
 
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -25,8 +25,8 @@
     window_start = state.now - policy.exposure_window
     sent = state.traffic.sent_to(build)
     accepted = state.traffic.accepted
-    sent.forget(window_start)
-    accepted.forget(window_start, with_edge=True)
+    sent.expire(window_start)
+    accepted.expire(window_start, inclusive=True)
     # Where a former incarnation's attempts in this window are not known, it may have used all that is spare.
     spare = policy.spare_attempts if state.now >= state.no_spare_until else 0
     return sent.count(*classes) + more <= spare + cap * accepted.count(*classes)
--- a/gatebank/policy/outlier.py
+++ b/gatebank/policy/outlier.py
@@ -10,14 +10,14 @@
 FAILURE_WEIGHT = 0.25  # of each new result in an endpoint's failure rate
 FAILURE_SIZES = {Outcome.SUCCESS: 0.0, Outcome.CONNECTION_LOST: 0.5}  # others: 1; a link may lose answers
 NO_FAILURE_SIGN = (Outcome.CANCELLED, Outcome.REJECTED, Outcome.NOT_SENT)
-EJECT_AT = 0.4
-RETURN_RATE = 0.3  # of an endpoint that is taken back: ejected again soon, for twice as long
+EJECTION_FAILURE_RATE = 0.4
+FAILURE_RATE_ON_RETURN = 0.3  # of an endpoint that is taken back: ejected again soon, for twice as long
 MIN_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
 HEALTH_CHECKS_TO_RETURN = 2
-HEALTH_CHECK_EVERY_S = 0.5
+HEALTH_CHECK_INTERVAL_S = 0.5
 MEMORY_S = 4.0  # in which what made an endpoint look slow or failing fades, so that it is tried again
-UNRESPONSIVE_AT = 3  # usual times without a result
+UNRESPONSIVE_SILENCE = 3  # usual times without a result
 FAILURE_PENALTY = 8
 
 
@@ -31,7 +31,7 @@
 def should_eject(state: BalancerState, endpoint: EndpointState, outcome: Outcome) -> bool:
     """An endpoint that fails often is ejected and checked."""
     counts = outcome not in NO_FAILURE_SIGN and not endpoint.ejected
-    return counts and endpoint.failure_rate >= EJECT_AT and may_eject_one_more(state, endpoint)
+    return counts and endpoint.failure_rate >= EJECTION_FAILURE_RATE and may_eject_one_more(state, endpoint)
 
 
 def may_eject_one_more(state: BalancerState, endpoint: EndpointState) -> bool:
@@ -41,12 +41,12 @@
     return 2 * ejected + 2 <= len(same_build.endpoints)
 
 
-def ejection_time(wanted: float) -> float:
+def clamp_ejection_time(wanted: float) -> float:
     """Seconds for which an endpoint is ejected: twice the last time's, or what others say."""
     return min(MAX_EJECTION_S, max(MIN_EJECTION_S, wanted))
 
 
-def busyness(state: BalancerState, endpoint: EndpointState) -> float:
+def load_score(state: BalancerState, endpoint: EndpointState) -> float:
     """Attempts outstanding x how slow; more when nothing comes back: dead, or cut off."""
     fade = exp((endpoint.last_result_at - state.now) / MEMORY_S)
     slow = 1 + (endpoint.latency_ratio - 1) * fade
--- a/gatebank/policy/retry.py
+++ b/gatebank/policy/retry.py
@@ -7,7 +7,7 @@
 from gatebank.core.request_state import Attempt, RequestState
 from gatebank.core.state import BalancerState
 from gatebank.events import RetrySafety
-from gatebank.policy.admission import sheds
+from gatebank.policy.admission import should_shed
 from gatebank.policy.routing import choose_endpoint
 
 WAIT_S = 0.1  # for an endpoint: the list or a slow start's budget may bring one
@@ -21,7 +21,7 @@
 
 def next_step(state: BalancerState, request: RequestState) -> NextStep:
     """The endpoint of the next attempt, the time to wait until, or the final answer."""
-    may_send = may_attempt(state, request) and (bool(request.attempts) or not sheds(state, request))
+    may_send = may_attempt(state, request) and (bool(request.attempts) or not should_shed(state, request))
     endpoint = choose_endpoint(state, request) if may_send else None
     if endpoint is not None:
         return endpoint
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -8,8 +8,10 @@
 MAX_FUSERS = 3  # the design's; where more must vote, the others follow what these find
 FUSER_SILENCE_S = 4.0  # who heard no fuser for that long decides by what it knows itself
 RELAY_SILENCE_S = 2.5  # without the fleet's report, the next fuser tells it
-FLEET_MEMORY_S = 5.0  # of reports
-MIN_MEAN_ANSWERS = 10.0  # a second, of all instances, that make a mean: twenty in a report's two seconds
+REPORT_LIFETIME_S = 5.0  # of reports
+MIN_ANSWERS_PER_SECOND = (
+    10.0  # a second, of all instances, that make a mean: twenty in a report's two seconds
+)
 HELD_UP_FACTOR = 3  # times the quickest class's usual time
 REPORT_TICKS = 4  # between reports: the design's second
 INSTANCES_PER_REPORT_SECOND = 200  # more of them report less often
@@ -33,7 +35,7 @@
     return ticks % (REPORT_TICKS * every) == 0
 
 
-def reports_fleet(state: BalancerState) -> bool:
+def should_report_fleet(state: BalancerState) -> bool:
     """The first fuser tells what all instances do, or the next one that has not heard it."""
     me = state.settings.instance
     fleet = state.fleet
@@ -49,7 +51,7 @@
     return {w for w, (each, latency) in pairs if latency > max(each.latency_objective, quick)}
 
 
-def renewal_delay(state: BalancerState, reply: ReplyStatus) -> float:
+def vote_renewal_delay(state: BalancerState, reply: ReplyStatus) -> float:
     """Seconds until the vote is cast again: one that stands before it lapses."""
     renewal = state.settings.release.vote_lifetime * RENEWAL_SHARE
     other = OTHER_RETRY_S + OTHER_RETRY_S * state.random()  # drawn whatever the reply is
@@ -103,6 +105,6 @@
     return RANK_STEP_S * max(0, rank + 1 - needed) * min(1.0, 4 / needed) + many * rank * call_s
 
 
-def renew_at(state: BalancerState) -> float:
+def unanswered_vote_retry_at(state: BalancerState) -> float:
     """When a vote without an answer is cast again."""
     return state.now + state.settings.release.vote_timeout + REPLY_MARGIN_S
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -7,7 +7,7 @@
 from gatebank.core.state import BalancerState
 from gatebank.events import Phase, RetrySafety
 from gatebank.policy.exposure import cap_allows, is_canary
-from gatebank.policy.outlier import busyness
+from gatebank.policy.outlier import load_score
 from gatebank.policy.slow_start import admits, minimum_capacity
 from gatebank.statistics.endpoint_groups import EndpointGroups, Selection
 
@@ -67,7 +67,7 @@
     if not two:
         in_any_order = state.sample(endpoints, len(endpoints))
         two = list(islice((each for each in in_any_order if admits(state, each)), 1))
-    return min(two, key=lambda each: busyness(state, each)) if two else None
+    return min(two, key=lambda each: load_score(state, each)) if two else None
 
 
 def _near(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
--- a/gatebank/policy/slow_start.py
+++ b/gatebank/policy/slow_start.py
@@ -7,7 +7,7 @@
 BUDGET_SHARE = 0.5  # of what it can bear by this instance's count
 FIRST_BURST_WINDOWS = 0.4  # a window's worth at once
 MAX_TOKENS = 1.5
-PEER_RATE_S = 2.0  # for so long the attempts that others send are believed
+PEER_RATE_LIFETIME_S = 2.0  # for so long the attempts that others send are believed
 SERVED_RATE_PER_WINDOW = 0.6  # served attempts of the 2 s window, as a rate with some caution
 
 
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -31,7 +31,7 @@
     started_until: float
     size: int
 
-    def contain(self, endpoint: EndpointState) -> bool:
+    def includes(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint of that build is one of them; if no start is told, it is."""
         return (endpoint.listed.started or 0.0) <= self.started_until
 
@@ -40,7 +40,7 @@
     """Which value of endpoints a median is of, and over which of them."""
 
     value: str
-    over: Hashable
+    group: Hashable
 
 
 class EndpointGroups:
@@ -87,19 +87,19 @@
             endpoints = [each for each in self.endpoints if (each.listed.build in builds) is not excluded]
         return Selection(endpoints, [each for each in endpoints if not each.ejected])
 
-    def oldest(self, build: int, minimum: int, together_s: float) -> OldestEndpoints:
+    def oldest(self, build: int, minimum: int, same_age_s: float) -> OldestEndpoints:
         """The endpoints of a build that started first.
 
         Args:
             build: which build.
             minimum: how many at least, if the build has as many.
-            together_s: they include what started within so many seconds of these.
+            same_age_s: they include what started within so many seconds of these.
         """
-        key = build, minimum, together_s
+        key = build, minimum, same_age_s
         found = self._oldest.get(key)
         if found is None:
             starts = sorted(each.listed.started or 0.0 for each in self.by_build.get(build, ()))
-            until = starts[min(minimum, len(starts)) - 1] + together_s if starts else 0.0
+            until = starts[min(minimum, len(starts)) - 1] + same_age_s if starts else 0.0
             found = self._oldest[key] = OldestEndpoints(until, bisect_right(starts, until))
         return found
 
--- a/gatebank/statistics/sliding_window.py
+++ b/gatebank/statistics/sliding_window.py
@@ -22,10 +22,10 @@
     ...     window.add(at, kind)
     >>> window.count("a"), len(window)
     (2, 3)
-    >>> window.forget(2.0)
+    >>> window.expire(2.0)
     >>> window.count("a"), window.count(), window.oldest
     (1, 2, 2.0)
-    >>> window.forget(2.0, with_edge=True)
+    >>> window.expire(2.0, inclusive=True)
     >>> len(window)
     0
     """
@@ -33,7 +33,7 @@
     __slots__ = ("counts", "rows")
 
     def __init__(self) -> None:
-        self.rows: deque[tuple[float, KindT]] = deque()  # emptied by `forget`
+        self.rows: deque[tuple[float, KindT]] = deque()  # emptied by `expire`
         self.counts: dict[KindT, int] = {}  # as many as there are kinds in the rows
 
     def add(self, at: float, kind: KindT) -> None:
@@ -41,11 +41,11 @@
         self.rows.append((at, kind))
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    def move(self, at: float, kind: KindT, now: float) -> None:
+    def restamp(self, at: float, kind: KindT, now: float) -> None:
         """The row of that time counts as one of now. It is searched for: for what happens seldom.
 
         >>> window: SlidingWindow[str] = SlidingWindow()
-        >>> window.add(1.0, "a"), window.move(1.0, "a", 2.0), window.forget(1.5), window.count("a")
+        >>> window.add(1.0, "a"), window.restamp(1.0, "a", 2.0), window.expire(1.5), window.count("a")
         (None, None, None, 1)
         """
         try:
@@ -54,17 +54,17 @@
             self.counts[kind] = self.counts.get(kind, 0) + 1
         self.rows.append((now, kind))
 
-    def add_before(self, rows: Iterable[tuple[float, KindT]]) -> None:
+    def prepend(self, rows: Iterable[tuple[float, KindT]]) -> None:
         """Add rows older than all here, in any order."""
         for at, kind in sorted(rows, key=lambda row: row[0], reverse=True):
             self.rows.appendleft((at, kind))
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    def forget(self, before: float, *, with_edge: bool = False) -> None:
-        """Drop what is older than that, and with ``with_edge`` what is just as old."""
+    def expire(self, before: float, *, inclusive: bool = False) -> None:
+        """Drop what is older than that, and with ``inclusive`` what is just as old."""
         rows = self.rows
         counts = self.counts
-        while rows and (rows[0][0] < before or (with_edge and rows[0][0] == before)):
+        while rows and (rows[0][0] < before or (inclusive and rows[0][0] == before)):
             kind = rows.popleft()[1]
             if counts[kind] == 1:
                 del counts[kind]
