--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -248,7 +248,7 @@
         if not retry.may_run_again(state, request, request.attempts_that_may_have_run()[:-1]):
             return False
         is_canary = exposure.is_canary(state, record.build)
-        if is_canary and not exposure.cap_allows(state, request, record.build, more=0):
+        if is_canary and not exposure.cap_allows(state, request, record.build, new_attempts=0):
             return False
         started_at = request.attempts[attempt].started_at
         state.traffic.sent_to(record.build).restamp(started_at, record.request_class, state.now)
@@ -342,7 +342,7 @@
             state.endpoints.groups.ejection_changed()
         if result.outcome in NEVER_RAN:
             return
-        deltas = evidence.evaluate_result(state, attempt, result)
+        deltas = evidence.evaluate(state, attempt, result)
         if deltas is None:
             return
         for delta in deltas:
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -34,9 +34,7 @@
 INDEPENDENT_ENDPOINT_RATE = 8  # the same of one endpoint: what waits behind one pause is late together
 
 
-def evaluate_result(
-    state: BalancerState, attempt: AttemptRecord, result: AttemptResult
-) -> list[LlrDelta] | None:
+def evaluate(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> list[LlrDelta] | None:
     """Take a result into the baseline's figures or the canary's LLRs.
 
     Returns:
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -13,7 +13,7 @@
     return build > release.build or (build == release.build and release.phase is not Phase.RELEASED)
 
 
-def cap_allows(state: BalancerState, request: RequestState, build: int, more: int = 1) -> bool:
+def cap_allows(state: BalancerState, request: RequestState, build: int, new_attempts: int = 1) -> bool:
     """Whether so many more attempts of a request may go to a canary."""
     policy = state.settings.release
     release = state.release if state.release is not None and state.release.build == build else None
@@ -29,4 +29,4 @@
     accepted.expire(window_start, inclusive=True)
     # Where a former incarnation's attempts in this window are not known, it may have used all that is spare.
     spare = policy.spare_attempts if state.now >= state.no_spare_until else 0
-    return sent.count(*classes) + more <= spare + cap * accepted.count(*classes)
+    return sent.count(*classes) + new_attempts <= spare + cap * accepted.count(*classes)
