--- a/gatebank/policy/__init__.py
+++ b/gatebank/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision, threshold and tuned constant; no I/O. docs/architecture.md says what stands where."""
+"""All decisions, thresholds and tuned constants; no I/O. docs/architecture.md describes the modules."""
--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -6,44 +6,68 @@
 from gatebank.policy.measurement import RATE_WINDOW_S
 from gatebank.policy.outlier import UNRESPONSIVE_SILENCE
 
-WARM_UP_S = 2.0  # after the start nothing is shed: no rate is known
-QUIET_PER_ENDPOINT = 2  # so many outstanding attempts an endpoint are no queue: answers may come in bursts
-FLEET_WEIGHT = 5  # the fleet's figures weigh as so many of this instance's answers a second
-BOUND_SHARE = 0.6  # of the latency objective, for what pays least for its work; twice for the best
-OVER_QUOTA_AT = 0.7  # of the bound, from where tenants are held to their quota
+# No request is shed for this long after the start, because the rate of answers is not known yet.
+WARM_UP_S = 2.0
+# Fewer outstanding attempts per endpoint are not a queue: endpoints may send their answers in bursts.
+MIN_QUEUE_PER_ENDPOINT = 2
+# Weight of the fleet report's figures, as a number of this instance's own answers per second.
+FLEET_REPORT_WEIGHT = 5
+# Share of the latency objective that the queue may take for a request class whose priority weight for its
+# work is near 0. The class with the highest priority weight for its work may take twice as much.
+BOUND_SHARE = 0.6
+# Share of the bound on outstanding attempts above which tenants are held to their quotas.
+QUOTA_ENFORCEMENT_SHARE = 0.7
+# Factor by which a tenant may exceed its share before its requests count as over quota.
 QUOTA_SLACK = 1.2
-HELD_UP_PROBE_SHARE = 0.1  # of a held-up class goes on, to see when it ends
+# Share of the requests of a held-up class that is admitted, to detect when the class is no longer held up.
+HELD_UP_PROBE_SHARE = 0.1
 
 
 def should_shed(state: BalancerState, request: RequestState) -> bool:
-    """Whether to reject it before queues tip, whatever fills them; what pays least for its work first."""
-    # By Little's law an answer takes attempts outstanding over answers a second.
+    """Return whether to reject a request because too many attempts are outstanding.
+
+    Requests are shed before the endpoints' queues overload them, whatever fills the queues. Requests of the
+    lowest priority weight for their work are shed first.
+    """
+    # By Little's law, the time of an answer is the number of outstanding attempts over the rate of answers.
     held_up = state.fleet.held_up_classes
     served_window = state.traffic.served
     served = (len(served_window) - (served_window.count(*held_up) if held_up else 0)) / RATE_WINDOW_S
     outstanding: float = outstanding_attempts(state, UNRESPONSIVE_SILENCE)
     in_fleet: float = outstanding * state.settings.instance_count
     report = state.fleet.report
-    if report:  # where traffic is thin, the fleet's figures decide
+    if report:  # where this instance has little traffic, the fleet's figures dominate
         if request.request.request_class in held_up:
             return state.random() > HELD_UP_PROBE_SHARE
         answers = max(0.5, sum(row.answers for w, row in enumerate(state.fleet.loads) if w not in held_up))
-        in_fleet = (served * in_fleet + FLEET_WEIGHT * report.outstanding) / (served + FLEET_WEIGHT)
-        outstanding = outstanding + FLEET_WEIGHT * report.outstanding / answers
-        served += FLEET_WEIGHT
-    quiet = in_fleet < QUIET_PER_ENDPOINT * len(state.endpoints.ready)
+        in_fleet = (served * in_fleet + FLEET_REPORT_WEIGHT * report.outstanding) / (
+            served + FLEET_REPORT_WEIGHT
+        )
+        outstanding = outstanding + FLEET_REPORT_WEIGHT * report.outstanding / answers
+        served += FLEET_REPORT_WEIGHT
+    quiet = in_fleet < MIN_QUEUE_PER_ENDPOINT * len(state.endpoints.ready)
     if quiet or state.now < state.started_at + WARM_UP_S:
         return False
     bound = _bound(state, request, served)
-    if state.settings.tenants and outstanding > OVER_QUOTA_AT * bound and _over_quota(state, request):
-        bound *= OVER_QUOTA_AT
+    if (
+        state.settings.tenants
+        and outstanding > QUOTA_ENFORCEMENT_SHARE * bound
+        and _over_quota(state, request)
+    ):
+        bound *= QUOTA_ENFORCEMENT_SHARE
     return outstanding > bound
 
 
 def _bound(state: BalancerState, request: RequestState, served: float) -> float:
-    """Attempts outstanding beyond which a request of this class is shed."""
+    """Return the number of outstanding attempts above which a request of this class is shed.
+
+    Args:
+        state: The state of this instance.
+        request: The request to admit or shed.
+        served: Answers per second.
+    """
     classes = state.settings.request_classes
-    by_work = float(state.settings.weighs_by_work)  # else by the usual time
+    by_work = float(state.settings.weighs_by_work)  # if 0, worth is the priority weight over the mean latency
     means = [estimate.mean for estimate in state.latencies.by_class]
     pairs = zip(classes, means, strict=True)
     worth = [each.priority_weight / (by_work or mean or 1) for each, mean in pairs]
@@ -52,8 +76,14 @@
 
 
 def _over_quota(state: BalancerState, request: RequestState) -> bool:
-    """Whether it counts as what its tenant sends beyond its share: by chance, the likelier the more."""
+    """Return whether a request counts as over its tenant's quota.
+
+    The decision is random: the further the tenant's recent arrivals exceed its share of all arrivals, the
+    more of its requests count as over quota.
+    """
     arrivals = state.traffic.arrivals
-    mine = arrivals.count(request.request.tenant)
+    from_tenant = arrivals.count(request.request.tenant)
     share = state.settings.tenants[request.request.tenant].share
-    return state.random() * mine > QUOTA_SLACK * share / max(0.01, 1 - share) * (len(arrivals) - mine)
+    return state.random() * from_tenant > QUOTA_SLACK * share / max(0.01, 1 - share) * (
+        len(arrivals) - from_tenant
+    )
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -1,4 +1,4 @@
-"""What an attempt's result says of builds: which LLRs it moves, and by how much."""
+"""Evidence on builds in an attempt's result: which LLRs the result moves, and by how much."""
 
 from gatebank.core.latency import UNKNOWN
 from gatebank.core.llr_sums import Statistic
@@ -12,68 +12,94 @@
 from gatebank.policy.sequential_test import SequentialTest, llr_step, odds_of
 from gatebank.policy.slow_start import is_warm
 
-SETTLING_S = 1.0  # after its start nothing an endpoint does is judged
-RELIABLE_SAMPLES = 20  # answers or outcomes from which a mean is known
-LATE_FACTOR = 3  # usual times: an answer is late beside the baseline
-LATE_EVERYWHERE_FACTOR = 2.5  # times before this canary came
-SLOWER_CANARY = 1.2  # the middle endpoint of the canary over the baseline's
-QUICKER_CANARY = 0.7  # beyond chance: what slows the baseline alone is no fault of the canary
-DRIFT = 1.3  # of the middle endpoint of all: no neighbour, pause or queue
-BUSIER = 1.35  # load over that before the canary came, from where lateness is no sign
-BACKLOG_S = 4.0  # after a burst, in which what still waits makes answers late
+# Time after an endpoint's start during which its results are no evidence.
+SETTLING_S = 1.0
+# Number of answers or outcomes from which a mean or a rate is reliable.
+RELIABLE_SAMPLES = 20
+# An answer is late compared with the baseline if it takes more than this multiple of the baseline's latency.
+LATE_FACTOR = 3
+# An answer is late everywhere if it takes more than this multiple of the latency before the canary started.
+LATE_EVERYWHERE_FACTOR = 2.5
+# Ratio of the median latency ratios of canary and baseline endpoints above which the canary is slower.
+SLOW_CANARY_RATIO = 1.2
+# The same ratio, below which the canary is faster than chance explains. A slowdown of the baseline alone is
+# then not the canary's fault.
+FAST_CANARY_RATIO = 0.7
+# Median latency drift of all healthy endpoints above which answers may be late everywhere. The median leaves
+# out the effect of noisy neighbours, pauses and queues, which slow down single endpoints.
+DRIFT_THRESHOLD = 1.3
+# Load per endpoint, relative to that before the canary started, from which late answers are no evidence.
+BUSY_FACTOR = 1.35
+# Time after a burst of traffic during which the requests that are still queued make answers late.
+BACKLOG_S = 4.0
+# Weight of an answer in an endpoint's latency drift.
 DRIFT_WEIGHT = 0.15
+# Weight of an answer in the baseline's mean latency.
 BASELINE_LATENCY_WEIGHT = 0.02
-FADE = 0.99  # of the baseline's counts, with each outcome
-RECENT_WEIGHT = 0.1  # of an outcome in the baseline's recent rate
-MIN_OUTCOMES = 5  # of the canary at this instance
-MIN_OUTCOMES_OF_ALL = 25  # where many instances share them
+# Factor by which the baseline's counts decay with each outcome.
+BASELINE_COUNT_DECAY = 0.99
+# Weight of an outcome in the baseline's recent rate of bad outcomes.
+RECENT_RATE_WEIGHT = 0.1
+# Outcomes of the canary at this instance that are required before latency drift counts as evidence.
+MIN_OUTCOMES = 5
+# The same requirement over all instances. Where there are many instances, each needs only its part of it.
+MIN_OUTCOMES_OF_ALL = 25
+# Bounds of p0, the baseline's share of bad outcomes.
 MIN_P0 = 0.01
 MAX_P0 = 0.2
+# Upper bound of p0 where it follows the baseline's recent rate of errors.
 MAX_RECENT_P0 = 0.6
-INDEPENDENT_FLEET_RATE = 80  # answers a second that count as evidence: those of a moment are late together
-INDEPENDENT_ENDPOINT_RATE = 8  # the same of one endpoint: what waits behind one pause is late together
+# Answers per second of the whole fleet that count as independent evidence of lateness everywhere: answers of
+# the same moment are late together.
+INDEPENDENT_FLEET_RATE = 80
+# Answers per second of one endpoint that count as independent evidence of lateness: requests that wait behind
+# the same pause are late together.
+INDEPENDENT_ENDPOINT_RATE = 8
 
 
 def evaluate(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> list[LlrDelta] | None:
-    """Take a result into the baseline's figures or the canary's LLRs.
+    """Update the baseline's figures or the canary's LLRs from an attempt's result.
 
     Returns:
-        What is to be told to the fusers; None where the result says nothing of builds.
+        The messages to send to the fusers; None if the result is no evidence on builds.
     """
     usual = _usual_latency(state, attempt.latency_key)
     late = result.duration > LATE_FACTOR * usual.mean
     given_up_too_soon = result.outcome in GIVEN_UP and result.duration < LATE_FACTOR * usual.mean
     if state.age(attempt.endpoint) < SETTLING_S or given_up_too_soon:
         return None
-    in_trial = state.release is not None and state.release.phase is Phase.CANARY
-    of_baseline = state.test is None or attempt.build < state.test.build
-    # An endpoint that warms up is late whatever it runs, and an instance that stood still knows no times.
-    timed = is_warm(state, attempt.endpoint) and state.now - result.duration >= state.resumed_at
-    compared = in_trial and timed and _shows_time(state, attempt, result)
+    in_canary_phase = state.release is not None and state.release.phase is Phase.CANARY
+    is_baseline = state.test is None or attempt.build < state.test.build
+    # The latency of an endpoint that warms up is high whatever build it runs, and the latency of an attempt
+    # that was sent before this instance resumed includes the time during which the instance was stalled.
+    latency_valid = is_warm(state, attempt.endpoint) and state.now - result.duration >= state.resumed_at
+    compares_latency = in_canary_phase and latency_valid and _measures_latency(state, attempt, result)
     deltas: list[LlrDelta | None] = []
     slower = False
-    if state.test and compared:
-        # Of the middle endpoints of canary and baseline; where traffic is thin, the fleet's.
+    if state.test and compares_latency:
+        # Ratio of the medians over the canary's and the baseline's endpoints. The fleet's ratio is used
+        # where it is known, because this instance may have too little traffic for its own.
         slowness = state.fleet.canary_slowness or median_slowness(state, state.test.build)
-        slower = usual.samples >= RELIABLE_SAMPLES and slowness > SLOWER_CANARY
-        if _has_drift(state, state.test, attempt, result):
-            late_drift = _late_by_drift(state, attempt, result) and slowness > QUICKER_CANARY
-            deltas.append(_move(state, state.test, Statistic.LATE_EVERYWHERE, attempt, late_drift))
-    if result.outcome is Outcome.SUCCESS and timed and (of_baseline or not in_trial):
+        slower = usual.samples >= RELIABLE_SAMPLES and slowness > SLOW_CANARY_RATIO
+        if _allows_drift_comparison(state, state.test, attempt, result):
+            late_drift = _late_by_drift(state, attempt, result) and slowness > FAST_CANARY_RATIO
+            deltas.append(_count_outcome(state, state.test, Statistic.LATE_EVERYWHERE, attempt, late_drift))
+    if result.outcome is Outcome.SUCCESS and latency_valid and (is_baseline or not in_canary_phase):
         learn_baseline_latency(state, attempt.latency_key, result.duration, BASELINE_LATENCY_WEIGHT)
-    if of_baseline or not (in_trial or state.canary_seen):
+    if is_baseline or not (in_canary_phase or state.canary_seen):
         _count_baseline(state, attempt, result, late and usual.mean > 0)
     elif state.test and attempt.build == state.test.build:
         outcomes = _error_statistics(attempt, result)
         if state.test.oldest_endpoints(state.endpoints.groups).includes(attempt.endpoint):
             outcomes += ((state.test.oldest_statistic, result.outcome is Outcome.ERROR),)
-        deltas += [_move(state, state.test, statistic, attempt, bad) for statistic, bad in outcomes]
-        if compared and usual.samples >= RELIABLE_SAMPLES:
-            deltas.append(_move(state, state.test, Statistic.LATE, attempt, late and slower))
+        deltas += [_count_outcome(state, state.test, statistic, attempt, bad) for statistic, bad in outcomes]
+        if compares_latency and usual.samples >= RELIABLE_SAMPLES:
+            deltas.append(_count_outcome(state, state.test, Statistic.LATE, attempt, late and slower))
     return [delta for delta in deltas if delta]
 
 
 def _usual_latency(state: BalancerState, key: tuple[int, int]) -> LatencyEstimate:
+    """Return the baseline's latency: the fleet's where this instance has too few samples of its own."""
     own = state.latencies.baseline.get(key, UNKNOWN)
     if own.samples < RELIABLE_SAMPLES and key in state.fleet.baseline_latency:
         return LatencyEstimate(state.fleet.baseline_latency[key].per_answer, RELIABLE_SAMPLES)
@@ -81,42 +107,57 @@
 
 
 def reliable_baseline_latencies(state: BalancerState) -> dict[tuple[int, int], LatencyEstimate]:
-    """The baseline's usual times; the fleet's, where this instance has met too few answers itself."""
+    """Return the baseline's latencies with enough samples, by request class and machine kind.
+
+    The fleet's latency stands in where this instance has too few samples of its own.
+    """
     keys = {*state.latencies.baseline, *state.fleet.baseline_latency}
     usual = {key: _usual_latency(state, key) for key in keys}
     return {key: estimate for key, estimate in usual.items() if estimate.samples >= RELIABLE_SAMPLES}
 
 
-def _shows_time(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> bool:
+def _measures_latency(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> bool:
+    """Return whether a result's duration shows how fast its endpoint is."""
     broken = result.outcome in (Outcome.ERROR, Outcome.CONNECTION_LOST)
     return not broken and attempt.request_class not in state.fleet.held_up_classes
 
 
-def _has_drift(
+def _allows_drift_comparison(
     state: BalancerState, test: SequentialTest, attempt: AttemptRecord, result: AttemptResult
 ) -> bool:
-    """Whether an answer can be held against the time before the canary came; silence is not slowness."""
+    """Return whether a result can be compared with the latency before the canary started.
+
+    Only answers can: an endpoint that does not answer is not evidence of slowness.
+    """
     needed = min(MIN_OUTCOMES, MIN_OUTCOMES_OF_ALL / state.settings.instance_count)
-    met = test.sums.own[Statistic.ERRORS].outcomes >= needed
+    enough = test.sums.own[Statistic.ERRORS].outcomes >= needed
     before = state.latencies.before_canary.get(attempt.latency_key, UNKNOWN).mean
-    return met and result.outcome is Outcome.SUCCESS and before > 0
+    return enough and result.outcome is Outcome.SUCCESS and before > 0
 
 
 def _late_by_drift(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> bool:
-    """Late, with no more traffic than before: a build may slow all, and has no contrast beside it then."""
+    """Return whether an answer is late everywhere: compared with the latency before the canary started.
+
+    A build may slow down the endpoints of all builds, so that no endpoint is left to compare it with. The
+    answer counts as late only if there is no more traffic than before.
+    """
     before = state.latencies.before_canary[attempt.latency_key].mean
     drift = learn_drift(state, attempt.endpoint, result.duration / before, DRIFT_WEIGHT)
     calm = state.now >= state.latencies.busy_until
-    return calm and drift > DRIFT and result.duration > LATE_EVERYWHERE_FACTOR * before
+    return calm and drift > DRIFT_THRESHOLD and result.duration > LATE_EVERYWHERE_FACTOR * before
 
 
 def update_busy_until(state: BalancerState) -> None:
-    """See whether there is more traffic than before the canary came; what waits outlasts a burst."""
-    if load_per_endpoint(state, UNRESPONSIVE_SILENCE) >= BUSIER * state.latencies.load_before_canary:
+    """Extend the busy period if there is more traffic than before the canary started.
+
+    The period outlasts a burst of traffic, because requests that the burst left in queues are answered late.
+    """
+    if load_per_endpoint(state, UNRESPONSIVE_SILENCE) >= BUSY_FACTOR * state.latencies.load_before_canary:
         state.latencies.busy_until = state.now + BACKLOG_S
 
 
 def _error_statistics(attempt: AttemptRecord, result: AttemptResult) -> tuple[tuple[int, bool], ...]:
+    """Return the error statistics that a result counts in, each with whether the result is bad in it."""
     error = result.outcome is Outcome.ERROR
     lost = result.outcome is Outcome.CONNECTION_LOST
     of_class = Statistic.FIRST_CLASS + attempt.request_class
@@ -124,16 +165,24 @@
 
 
 def _count_baseline(state: BalancerState, attempt: AttemptRecord, result: AttemptResult, late: bool) -> None:
-    """What fails here too from now on is no fault of the canary; at failing endpoints it might hide it."""
+    """Count a result of the baseline.
+
+    Failures that also occur at the baseline are not held against the canary. Failures of baseline endpoints
+    that fail often stay out of the recent rate, as they could hide failures of the canary.
+    """
     outcomes = (*_error_statistics(attempt, result), (Statistic.LATE, late))
     healthy = attempt.endpoint.failure_rate < EJECTION_FAILURE_RATE
-    count_baseline(state.baseline_errors, outcomes, healthy, FADE, RECENT_WEIGHT)
+    count_baseline(state.baseline_errors, outcomes, healthy, BASELINE_COUNT_DECAY, RECENT_RATE_WEIGHT)
 
 
-def _move(
+def _count_outcome(
     state: BalancerState, test: SequentialTest, statistic: int, attempt: AttemptRecord, bad: bool
 ) -> LlrDelta | None:
-    """Count one outcome in one LLR; past Δ, what to tell the fusers."""
+    """Count an outcome in one LLR.
+
+    Returns:
+        The message to the fusers if the LLR has moved by Δ or more, else None.
+    """
     odds_of_statistic = test.odds_aliases.get(statistic, statistic)
     step = llr_step(odds_of_statistic, bad, _p0(state, odds_of_statistic))
     if statistic == Statistic.LATE_EVERYWHERE and state.fleet.report:
@@ -144,7 +193,7 @@
 
 
 def _p0(state: BalancerState, statistic: int) -> float:
-    """The baseline's share of bad outcomes; of errors at least its recent one."""
+    """Return the baseline's share of bad outcomes; of errors, no less than their recent rate."""
     row = state.baseline_errors[statistic]
     share = row.bad / row.total if row.total >= RELIABLE_SAMPLES else odds_of(statistic).unknown_p0
     p0 = min(MAX_P0, max(MIN_P0, share))
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -1,4 +1,4 @@
-"""How much the canary gets. Rule 5: exposure within the cap, by this instance's own count in its window."""
+"""Exposure of the canary. Rule 5: each instance keeps to the cap by its own counts in the exposure window."""
 
 from gatebank.core.request_state import RequestState
 from gatebank.core.state import BalancerState
@@ -6,15 +6,23 @@
 
 
 def is_canary(state: BalancerState, build: int) -> bool:
-    """Whether a build is the one told last and not released, or a later one."""
+    """Return whether a build is later than the last announced one, or is that one and not released."""
     release = state.release
-    if release is None or release.build is None:  # only the lowest build listed is surely none
+    if release is None or release.build is None:  # only the lowest listed build is certain not to be a canary
         return bool(state.endpoints.by_index) and state.endpoints.lowest_build < build
     return build > release.build or (build == release.build and release.phase is not Phase.RELEASED)
 
 
 def cap_allows(state: BalancerState, request: RequestState, build: int, new_attempts: int = 1) -> bool:
-    """Whether so many more attempts of a request may go to a canary."""
+    """Return whether the cap allows further attempts of a request at a canary.
+
+    Args:
+        state: The state of this instance.
+        request: The request.
+        build: The canary's build.
+        new_attempts: Number of attempts that would be added to the window. 0 checks the attempts that are
+            already counted.
+    """
     policy = state.settings.release
     release = state.release if state.release is not None and state.release.build == build else None
     cap, stage = (release.cap, release.stage or 0) if release else (policy.caps[0], 0)
@@ -27,6 +35,7 @@
     accepted = state.traffic.accepted
     sent.expire(window_start)
     accepted.expire(window_start, inclusive=True)
-    # Where a former incarnation's attempts in this window are not known, it may have used all that is spare.
+    # While the attempts of an earlier incarnation in this window are not known, that incarnation may have
+    # used all spare attempts.
     spare = policy.spare_attempts if state.now >= state.no_spare_until else 0
     return sent.count(*classes) + new_attempts <= spare + cap * accepted.count(*classes)
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -1,42 +1,58 @@
-"""When to vote on the canary, and when this instance reports what it knows."""
+"""When this instance votes on the canary, and when it reports to the other instances."""
 
 from gatebank.core.state import BalancerState
 from gatebank.events import ReplyStatus, Verdict
 from gatebank.peer_messages import short_build
 from gatebank.policy.measurement import TICK_S
 
-MAX_FUSERS = 3  # the design's; where more must vote, the others follow what these find
-FUSER_SILENCE_S = 4.0  # who heard no fuser for that long decides by what it knows itself
-RELAY_SILENCE_S = 2.5  # without the fleet's report, the next fuser tells it
-REPORT_LIFETIME_S = 5.0  # of reports
-MIN_ANSWERS_PER_SECOND = (
-    10.0  # a second, of all instances, that make a mean: twenty in a report's two seconds
-)
-HELD_UP_FACTOR = 3  # times the quickest class's usual time
-REPORT_TICKS = 4  # between reports: the design's second
-INSTANCES_PER_REPORT_SECOND = 200  # more of them report less often
-VOTE_EVERY_S = 0.5
-RANK_STEP_S = 0.5  # the fusers vote one after another, as far as the first ones' votes had no effect
+# Number of fusers in the design. Where more votes are required, the other instances follow the fusers.
+MAX_FUSERS = 3
+# An instance that has received nothing from any fuser for this long decides by its own evidence.
+FUSER_SILENCE_S = 4.0
+# If no fleet report has been received for this long, the next fuser sends it.
+RELAY_SILENCE_S = 2.5
+# Age from which reports are no longer used.
+REPORT_LIFETIME_S = 5.0
+# Answers per second of all instances that are required for a mean latency: 20 in the 2 s of a report.
+MIN_ANSWERS_PER_SECOND = 10.0
+# A class is held up only if its latency is above this multiple of the fastest class's.
+HELD_UP_FACTOR = 3
+# Ticks between two reports: 1 s, as in the design.
+REPORT_TICKS = 4
+# With more instances than this, each instance reports less often than every second.
+INSTANCES_PER_REPORT_SECOND = 200
+# Minimum interval between two votes; a vote to roll back does not wait for it.
+MIN_VOTE_INTERVAL_S = 0.5
+# Delay between the votes of successive instances, which vote only if the votes before had no effect.
+RANK_STEP_S = 0.5
+# Upper bound of an instance's rank where no more votes are required than there are fusers.
 MAX_RANK = 3
-RENEWAL_SHARE = 0.75  # of a vote's lifetime
+# Share of a vote's lifetime after which an accepted vote is renewed.
+RENEWAL_SHARE = 0.75
+# Delay before a vote is cast again after such a reply.
 RETRY_S = {ReplyStatus.STALE: 1.5, ReplyStatus.TIMED_OUT: 0.5}
-OTHER_RETRY_S = 0.4  # and as much again by chance
+# The delay after other replies, and the length of the random delay that is added to it.
+OTHER_RETRY_S = 0.4
+# Time added to the vote timeout before an unanswered vote is cast again.
 REPLY_MARGIN_S = 0.2
 
 
 def fusers(instance_count: int) -> range:
-    """The instances that sum all LLRs: the lowest-numbered ones."""
+    """Return the instances that sum the LLRs of all instances: those with the lowest numbers."""
     return range(min(MAX_FUSERS, instance_count))
 
 
 def report_is_due(state: BalancerState, ticks: int) -> bool:
-    """Each second, the design's; less often where hundreds would speak."""
+    """Return whether to report at this tick: each second, as in the design; less often in a large fleet."""
     every = max(1, round(state.settings.instance_count / INSTANCES_PER_REPORT_SECOND))
     return ticks % (REPORT_TICKS * every) == 0
 
 
 def should_report_fleet(state: BalancerState) -> bool:
-    """The first fuser tells what all instances do, or the next one that has not heard it."""
+    """Return whether this instance sends the fleet report.
+
+    The first fuser sends it. A later fuser takes over when it has received no fleet report for some time.
+    """
     me = state.settings.instance
     fleet = state.fleet
     own_turn = me <= fleet.sender or fleet.received_at < state.now - RELAY_SILENCE_S
@@ -44,22 +60,35 @@
 
 
 def held_up_classes(state: BalancerState) -> set[int]:
-    """Classes late by themselves, while another is quick: they wait for what no endpoint mends."""
+    """Return the request classes that are late while another class is fast.
+
+    Requests of these classes wait for something behind the endpoints, so another endpoint would not help.
+    """
     latencies = state.fleet.latencies()
-    quick = HELD_UP_FACTOR * min(filter(None, latencies), default=0.0)
+    limit = HELD_UP_FACTOR * min(filter(None, latencies), default=0.0)
     pairs = enumerate(zip(state.settings.request_classes, latencies, strict=False))
-    return {w for w, (each, latency) in pairs if latency > max(each.latency_objective, quick)}
+    return {w for w, (each, latency) in pairs if latency > max(each.latency_objective, limit)}
 
 
 def vote_renewal_delay(state: BalancerState, reply: ReplyStatus) -> float:
-    """Seconds until the vote is cast again: one that stands before it lapses."""
+    """Return the seconds until the vote is cast again; an accepted vote is renewed before it expires."""
     renewal = state.settings.release.vote_lifetime * RENEWAL_SHARE
-    other = OTHER_RETRY_S + OTHER_RETRY_S * state.random()  # drawn whatever the reply is
+    other = OTHER_RETRY_S + OTHER_RETRY_S * state.random()  # a random number is drawn for every reply
     return renewal if reply is ReplyStatus.ACCEPTED else RETRY_S.get(reply, other)
 
 
 def _verdict(state: BalancerState, *, many: bool) -> Verdict | None:
-    """What present evidence says: a fuser's own, or where many must vote what a fuser told; None: no say."""
+    """Return the verdict by present evidence.
+
+    Args:
+        state: The state of this instance.
+        many: Whether more votes are required than there are fusers.
+
+    Returns:
+        A fuser's own verdict. At other instances the verdict of the last fleet report where many must vote,
+        and their own if they have received nothing from any fuser for some time. None if there is no
+        verdict.
+    """
     test = state.test
     if test is None:
         return None
@@ -68,14 +97,19 @@
         oldest = test.oldest_endpoints(state.endpoints.groups).size
         counts = state.endpoints.counts(test.build, oldest, state.now, state.settings.slow_start.warm_up)
         own = test.verdict(state.now, counts)
-        return None if many and not is_fuser and own is Verdict.NONE else own  # what they found stands
+        # Without evidence of its own, an instance does not withdraw a vote that followed the fusers' verdict.
+        return None if many and not is_fuser and own is Verdict.NONE else own
     report = state.fleet.report
     same = report and (report.build, report.stage) == (short_build(test.build), test.sums.stage)
     return Verdict(report.verdict) if many and report and same else None
 
 
 def vote_to_cast(state: BalancerState) -> Verdict | None:
-    """The first fuser votes at once, the others if that had no effect; where more must, all do, in turn."""
+    """Return the verdict to vote for now, or None.
+
+    The first fuser votes at once, and the other fusers if that had no effect. Where more votes are required
+    than there are fusers, all instances vote, in the order of their numbers.
+    """
     policy = state.settings.release
     needed = {Verdict.PROMOTE: policy.promote_votes, Verdict.ROLL_BACK: policy.rollback_votes}
     many = max(needed.values()) > MAX_FUSERS
@@ -89,22 +123,30 @@
     standing = voting.standing(state.test)
     due = voting.renew_at
     if verdict is not standing:
-        due = voting.leaning_since + _turn(state, max(1, needed.get(verdict, 1)), many=many)
+        due = voting.leaning_since + _vote_delay(state, max(1, needed.get(verdict, 1)), many=many)
     if verdict is not Verdict.ROLL_BACK:
-        due = max(due, voting.voted_at + VOTE_EVERY_S)
-    in_vain = verdict is Verdict.PROMOTE and not policy.promote_votes  # stages advance by the clock
+        due = max(due, voting.voted_at + MIN_VOTE_INTERVAL_S)
+    # Where no votes to promote are required, the release service advances the stages by time.
+    in_vain = verdict is Verdict.PROMOTE and not policy.promote_votes
     nothing_to_say = in_vain or (verdict is Verdict.NONE and standing is not Verdict.PROMOTE)
     return None if state.now < due or nothing_to_say else verdict
 
 
-def _turn(state: BalancerState, needed: int, *, many: bool) -> float:
-    """Seconds that this instance leaves to those before it."""
+def _vote_delay(state: BalancerState, needed: int, *, many: bool) -> float:
+    """Return the seconds for which this instance lets the instances before it vote first.
+
+    Args:
+        state: The state of this instance.
+        needed: Number of votes required for the verdict.
+        many: Whether more votes are required than there are fusers.
+    """
     instance = state.settings.instance
     rank = instance if many else min(instance, MAX_RANK)
-    call_s = 1 / max(1, state.settings.release.votes_per_second)  # that a vote takes the release service
+    # Time per vote at the rate of votes that the release service accepts.
+    call_s = 1 / max(1, state.settings.release.votes_per_second)
     return RANK_STEP_S * max(0, rank + 1 - needed) * min(1.0, 4 / needed) + many * rank * call_s
 
 
 def unanswered_vote_retry_at(state: BalancerState) -> float:
-    """When a vote without an answer is cast again."""
+    """Return the time at which a vote is cast again if it is not answered."""
     return state.now + state.settings.release.vote_timeout + REPLY_MARGIN_S
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to. Rule 3 is kept by the endpoint table: only ready ones are chosen."""
+"""Choice of the endpoint of an attempt. Rule 3 holds as the endpoint table offers only ready endpoints."""
 
 from itertools import islice
 
@@ -11,45 +11,59 @@
 from gatebank.policy.slow_start import admits, minimum_capacity
 from gatebank.statistics.endpoint_groups import EndpointGroups, Selection
 
-MIN_SUBSET = 4.0  # endpoints
-MIN_COVERAGE = 4  # instances to each endpoint, for each to keep to a subset
-MEETINGS = 4  # an endpoint is met this often, over the idle timeout of connections
-GOLDEN_SECTION = 0.618034  # spreads any run of instance numbers evenly
+# Minimum number of endpoints in an instance's subset.
+MIN_SUBSET = 4.0
+# Instances keep to subsets only if each endpoint is in the subsets of this many instances on average.
+MIN_COVERAGE = 4
+# Attempts that each endpoint of a subset gets from this instance within the idle timeout of connections.
+CONNECTION_USES = 4
+# Multiples of the golden ratio distribute any range of instance numbers evenly over the endpoints.
+GOLDEN_RATIO = 0.618034
 NO_IDLE_TIMEOUT_S = 1e9
 
 
 def choose_endpoint(state: BalancerState, request: RequestState) -> EndpointState | None:
-    """The endpoint of the next attempt; None where none may be sent to now."""
+    """Return the endpoint of the next attempt; None if no endpoint may be sent to now."""
     candidates = _candidates(state, request)
-    whole = candidates is state.endpoints.ready
-    groups = state.endpoints.groups if whole else EndpointGroups(candidates)
+    all_ready = candidates is state.endpoints.ready
+    groups = state.endpoints.groups if all_ready else EndpointGroups(candidates)
     canaries = {b: cap_allows(state, request, b) for b in groups.by_build if is_canary(state, b)}
     baseline = groups.select(canaries, excluded=True)
     canary = groups.select([build for build, allowed in canaries.items() if allowed])
-    old = _less_busy_of_two(state, baseline)
-    new = _less_busy_of_two(state, canary)
+    old = _less_loaded_of_two(state, baseline)
+    new = _less_loaded_of_two(state, canary)
     rolling_back = state.release is not None and state.release.phase is Phase.ROLLING_BACK
-    # What failed is tried at the baseline next: it tells whose fault it was, and spares the client.
+    # A request that failed is tried at the baseline next: the result shows whether the build was at fault,
+    # and the client gets its answer.
     if not old or not new or request.suspected_errors or rolling_back:
         return old or new
-    # The canary gets what its endpoints can take, that times be like with like, however slow or failing.
+    # The canary gets traffic in proportion to its endpoints' capacity, however slow or failing they are, so
+    # that its latencies and the baseline's are measured under the same load.
     warm_up = state.settings.slow_start.warm_up
 
     def capacity_of(endpoint: EndpointState) -> float:
         return minimum_capacity(state, endpoint)
 
-    old_part = groups.capacity(baseline, state.now, warm_up, capacity_of)
-    new_part = groups.capacity(canary, state.now, warm_up, capacity_of)
-    return new if state.random() * (new_part + old_part) < new_part else old
+    old_capacity = groups.capacity(baseline, state.now, warm_up, capacity_of)
+    new_capacity = groups.capacity(canary, state.now, warm_up, capacity_of)
+    return new if state.random() * (new_capacity + old_capacity) < new_capacity else old
 
 
 def _candidates(state: BalancerState, request: RequestState) -> list[EndpointState]:
-    """Ready endpoints, within a keyed request's group, a sticky key's builds, and untried ones first."""
+    """Return the ready endpoints that a request may be sent to.
+
+    A keyed request that may have run stays in the group of its first such attempt, and a sticky key excludes
+    builds lower than its own. Endpoints that the request has not tried yet are preferred.
+    """
     found = state.endpoints.ready
-    settings = request.request_class
+    request_class = request.request_class
     may_have_run = request.attempts_that_may_have_run()
-    if may_have_run and settings.retry_safety is RetrySafety.KEYED and settings.retry_group != "all":
-        group = "zone" if settings.retry_group == "zone" else "cell"
+    if (
+        may_have_run
+        and request_class.retry_safety is RetrySafety.KEYED
+        and request_class.retry_group != "all"
+    ):
+        group = "zone" if request_class.retry_group == "zone" else "cell"
         first = getattr(may_have_run[0].endpoint.listed, group)
         found = [each for each in found if getattr(each.listed, group) == first]
     if request.request.key in state.sticky_builds:
@@ -60,26 +74,33 @@
     return found
 
 
-def _less_busy_of_two(state: BalancerState, selection: Selection) -> EndpointState | None:
-    """The design's pick: the less busy of two at random, or the first to be found that may be sent to."""
+def _less_loaded_of_two(state: BalancerState, selection: Selection) -> EndpointState | None:
+    """Return the less loaded of two endpoints at random, as in the design.
+
+    If slow start admits neither of the two, the first endpoint in random order that it admits is taken.
+    """
     endpoints = selection.healthy or selection.endpoints
-    two = [each for each in _near(state, endpoints) if admits(state, each)]
-    if not two:
-        in_any_order = state.sample(endpoints, len(endpoints))
-        two = list(islice((each for each in in_any_order if admits(state, each)), 1))
-    return min(two, key=lambda each: load_score(state, each)) if two else None
+    choices = [each for each in _sample_from_subset(state, endpoints) if admits(state, each)]
+    if not choices:
+        in_random_order = state.sample(endpoints, len(endpoints))
+        choices = list(islice((each for each in in_random_order if admits(state, each)), 1))
+    return min(choices, key=lambda each: load_score(state, each)) if choices else None
+
 
+def _sample_from_subset(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
+    """Return two endpoints at random from this instance's subset.
 
-def _near(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
-    """Two at random of those near this instance: as many as it meets twice while an idle connection lives."""
-    # New connections cost endpoints. Places are even, so that all instances together reach all alike.
+    New connections cost endpoints work. An instance therefore keeps to as many endpoints as it can use so
+    often that their connections do not reach the idle timeout.
+    """
+    # The subsets start at evenly distributed places, so that all instances together load all endpoints alike.
     size = len(endpoints)
     settings = state.settings
     idle_timeout = settings.limits.connection_idle_timeout
     idle = NO_IDLE_TIMEOUT_S if idle_timeout is None else idle_timeout
-    share = state.traffic.steady_rate * idle / MEETINGS * size / max(1, len(state.endpoints.ready))
+    share = state.traffic.steady_rate * idle / CONNECTION_USES * size / max(1, len(state.endpoints.ready))
     width = max(MIN_SUBSET, share)
     if width >= size or settings.instance_count * width < MIN_COVERAGE * size:
         return state.sample(endpoints, min(2, size))
-    first = int(settings.instance * GOLDEN_SECTION % 1.0 * size)
+    first = int(settings.instance * GOLDEN_RATIO % 1.0 * size)
     return [endpoints[(first + at) % size] for at in state.sample(range(int(width)), 2)]
