--- a/gatebank/statistics/__init__.py
+++ b/gatebank/statistics/__init__.py
@@ -1,10 +1,10 @@
-"""Counting whose cost does not grow with traffic or endpoints. No I/O and no decisions.
+"""Data structures whose updates and counts cost the same at any amount of traffic. No I/O and no decisions.
 
-    sliding_window.py         rows by time with running counts, exact at their edge
+    sliding_window.py         rows by time with a running count of each kind, exact at the window's edge
     order_statistics.py       medians of values that change one at a time
-    endpoint_groups.py        endpoints that may be sent to, by build and ejected or not
-    outstanding_attempts.py   endpoints with attempts outstanding, by how long nothing came from them
+    endpoint_groups.py        endpoints that may be sent to, by build and by whether they are ejected
+    outstanding_attempts.py   endpoints with outstanding attempts, in the order of their last results
 
-Each is held against the plain form that it replaces by property tests in tests/test_counting.py;
-docs/scale.md has the figures.
+The property tests in tests/test_counting.py compare each structure with a straightforward implementation;
+docs/scale.md has the measured costs.
 """
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -1,8 +1,8 @@
-"""Endpoints that may be sent to, by build and by ejected or not, in the order of the endpoint list.
+"""Endpoints that may be sent to, by build and by whether they are ejected, in the order of the endpoint list.
 
-Lists are made when they are first asked for, and again after a change: of the endpoint list, or of an
-endpoint ejected or taken back. Between changes, which are rare beside requests, asking costs the same among 4
-and 10,000.
+Lists are built on first use and built again after a change: a new endpoint list, an ejection, or the end of
+an ejection. Changes are rare compared with requests. Between them, a lookup costs the same among 4
+endpoints and among 10,000.
 """
 
 from __future__ import annotations
@@ -14,37 +14,38 @@
 from gatebank.core.endpoint_state import EndpointState
 from gatebank.statistics.order_statistics import OrderStatistics
 
-# Sets of builds asked for between two changes: a fleet has a few builds, all pairs of eight are 28.
+# Upper bound of the sets of builds that are cached between two changes. A fleet has few builds: eight builds
+# have 28 pairs.
 MAX_SELECTIONS = 64
 
 
 class Selection(NamedTuple):
-    """Endpoints of some builds: all, and those that are not ejected."""
+    """The endpoints of some builds: all of them, and those that are not ejected."""
 
     endpoints: list[EndpointState]
     healthy: list[EndpointState]
 
 
 class OldestEndpoints(NamedTuple):
-    """The endpoints of a build that started up to a time, in seconds, and how many they are."""
+    """The endpoints of a build that started up to a time in seconds, and the number of these endpoints."""
 
     started_until: float
     size: int
 
     def includes(self, endpoint: EndpointState) -> bool:
-        """Whether an endpoint of that build is one of them; if no start is told, it is."""
+        """Return whether an endpoint of the build belongs to them; it does if its start is unknown."""
         return (endpoint.listed.started or 0.0) <= self.started_until
 
 
 class MedianKey(NamedTuple):
-    """Which value of endpoints a median is of, and over which of them."""
+    """The name of an endpoint's value that a median is of, and a key of the group that the median is over."""
 
     value: str
     group: Hashable
 
 
 class EndpointGroups:
-    """A fixed sequence of endpoints, grouped; ejections must be told by `ejection_changed`."""
+    """A fixed sequence of endpoints in groups. `ejection_changed` must be called after each change of an ejection."""
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
         self.endpoints = endpoints
@@ -53,21 +54,26 @@
             self.by_build.setdefault(endpoint.listed.build, []).append(endpoint)
         self._members: set[int] | None = None
         self._oldest: dict[tuple[int, int, float], OldestEndpoints] = {}
-        # All of these are emptied by `ejection_changed`.
+        # `ejection_changed` clears all of the following.
         self._selections: dict[tuple[bool, frozenset[int]], Selection] = {}
-        self._warm_ups: dict[int, WarmUpOrder] = {}  # by the identity of a list
+        self._warm_ups: dict[int, WarmUpOrder] = {}  # keyed by the identity of a list of endpoints
         self._medians: dict[MedianKey, tuple[OrderStatistics, Callable[[EndpointState], bool]]] = {}
         self._ejected: int | None = None
 
     def ejection_changed(self) -> None:
-        """An endpoint was ejected or taken back."""
+        """Drop cached groups after an endpoint was ejected or returned from its ejection."""
         self._selections.clear()
         self._warm_ups.clear()
         self._medians.clear()
         self._ejected = None
 
     def select(self, builds: Collection[int], *, excluded: bool = False) -> Selection:
-        """The endpoints of these builds, or of all others, in the order of the list."""
+        """Return the endpoints of these builds in the order of the endpoint list.
+
+        Args:
+            builds: The builds.
+            excluded: Select all builds but these.
+        """
         key = excluded, frozenset(builds)
         found = self._selections.get(key)
         if found is None:
@@ -78,22 +84,22 @@
         return found
 
     def _new_selection(self, builds: Collection[int], *, excluded: bool) -> Selection:
-        wanted = [build for build in self.by_build if (build in builds) is not excluded]
-        if len(wanted) == len(self.by_build):
+        selected = [build for build in self.by_build if (build in builds) is not excluded]
+        if len(selected) == len(self.by_build):
             endpoints = list(self.endpoints)
-        elif len(wanted) == 1:
-            endpoints = self.by_build[wanted[0]]
+        elif len(selected) == 1:
+            endpoints = self.by_build[selected[0]]
         else:
             endpoints = [each for each in self.endpoints if (each.listed.build in builds) is not excluded]
         return Selection(endpoints, [each for each in endpoints if not each.ejected])
 
     def oldest(self, build: int, minimum: int, same_age_s: float) -> OldestEndpoints:
-        """The endpoints of a build that started first.
+        """Return the endpoints of a build that started first.
 
         Args:
-            build: which build.
-            minimum: how many at least, if the build has as many.
-            same_age_s: they include what started within so many seconds of these.
+            build: The build.
+            minimum: Minimum number of endpoints, if the build has that many.
+            same_age_s: Endpoints that started within this many seconds after the last of these are included.
         """
         key = build, minimum, same_age_s
         found = self._oldest.get(key)
@@ -104,13 +110,13 @@
         return found
 
     def contains(self, endpoint: EndpointState) -> bool:
-        """Whether it is one of these endpoints."""
+        """Return whether an endpoint belongs to this sequence."""
         if self._members is None:
             self._members = set(map(id, self.endpoints))
         return id(endpoint) in self._members
 
     def healthy_count(self) -> int:
-        """How many are not ejected."""
+        """Return the number of endpoints that are not ejected."""
         if self._ejected is None:
             self._ejected = sum(each.ejected for each in self.endpoints)
         return len(self.endpoints) - self._ejected
@@ -122,15 +128,19 @@
         warm_up: float,
         capacity_of: Callable[[EndpointState], float],
     ) -> float:
-        """The sum of ``capacity_of`` over the healthy ones of a selection.
+        """Return the sum of ``capacity_of`` over the healthy endpoints of a selection.
 
-        It is asked of those that are not warm yet, and once of a warm one, as all of these are alike. Sums
-        differ from the plain one's by rounding, 1e-12 of it.
+        ``capacity_of`` is called for each cold endpoint and for one warm endpoint, because all warm
+        endpoints have the same capacity. The result differs from a plain sum by a rounding error of 1e-12
+        of the sum.
         """
         return self._warm_up_order(selection.healthy).capacity(now, warm_up, capacity_of)
 
     def warm_count(self, endpoints: Sequence[EndpointState], now: float, warm_up: float) -> int:
-        """How many of a list that lives as long as this are warm."""
+        """Return the number of warm endpoints in a list.
+
+        The list must exist as long as these groups, because the cache is keyed by its identity.
+        """
         return self._warm_up_order(endpoints).warm_count(now, warm_up)
 
     def _warm_up_order(self, endpoints: Sequence[EndpointState]) -> WarmUpOrder:
@@ -146,7 +156,14 @@
         value_of: Callable[[EndpointState], float],
         empty: float,
     ) -> float:
-        """The median of a value over the endpoints that count; `value_changed` keeps it up to date."""
+        """Return the median of a value over a group; `value_changed` keeps the median up to date.
+
+        Args:
+            key: The value and the group.
+            counts: Whether an endpoint belongs to the group.
+            value_of: The value of an endpoint.
+            empty: The result if the group is empty.
+        """
         found = self._medians.get(key)
         if found is None:
             values = OrderStatistics(value_of(each) for each in self.endpoints if counts(each))
@@ -154,7 +171,14 @@
         return found[0].median(empty)
 
     def value_changed(self, value: str, endpoint: EndpointState, old: float | None, new: float) -> None:
-        """That value of an endpoint was another, or (None) did not count so far."""
+        """Update the medians of a value after the value of an endpoint has changed.
+
+        Args:
+            value: The name of the value.
+            endpoint: The endpoint.
+            old: The old value; None if the endpoint has not counted so far.
+            new: The new value.
+        """
         if not self._medians or not self.contains(endpoint):
             return
         for key, (values, counts) in self._medians.items():
@@ -167,7 +191,10 @@
 
 
 class WarmUpOrder:
-    """Which of some endpoints are not warm yet, the oldest last: these are taken off as they become so."""
+    """The cold and the warm endpoints of a list.
+
+    Cold endpoints are sorted with the oldest last, and move to the warm ones from the end as they warm up.
+    """
 
     __slots__ = ("_cold", "_warm")
 
@@ -178,12 +205,12 @@
         self._warm = others[:1] * len(others)
 
     def warm_count(self, now: float, warm_up: float) -> int:
-        """How many are warm."""
+        """Return the number of warm endpoints."""
         while self._cold and now - (self._cold[-1].listed.started or 0.0) >= warm_up:
             self._warm.append(self._cold.pop())
         return len(self._warm)
 
     def capacity(self, now: float, warm_up: float, capacity_of: Callable[[EndpointState], float]) -> float:
-        """The sum of ``capacity_of`` over all, asked of one of the warm ones."""
+        """Return the sum of ``capacity_of`` over all endpoints, calling it for only one of the warm ones."""
         warm = self.warm_count(now, warm_up)
         return (warm * capacity_of(self._warm[0]) if warm else 0.0) + sum(map(capacity_of, self._cold))
--- a/gatebank/statistics/order_statistics.py
+++ b/gatebank/statistics/order_statistics.py
@@ -1,7 +1,7 @@
-"""Values that change one at a time, kept in order: the median at once, a change by bisection.
+"""A sorted collection of values that change one at a time: bisection for changes, direct access to the median.
 
-A plain sorted list: moving half of 5,000 pointers takes 1 us, below what a balanced tree's or a skip list's
-own steps cost in Python; measured in benchmarks/counting.py up to 100,000.
+The values are kept in a plain sorted list. Moving half of 5,000 pointers takes 1 us, which is less than the
+steps of a balanced tree or a skip list cost in Python. benchmarks/counting.py measures sizes up to 100,000.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
         self.values = sorted(values)
 
     def replace(self, old: float, new: float) -> None:
-        """One value becomes another.
+        """Replace one occurrence of a value.
 
         Raises:
-            KeyError: the old one is not there.
+            KeyError: The old value is not in the collection.
         """
         at = bisect_left(self.values, old)
         if at == len(self.values) or self.values[at] != old:
@@ -39,11 +39,15 @@
         insort(self.values, new)
 
     def add(self, value: float) -> None:
-        """Add one value."""
+        """Add a value."""
         insort(self.values, value)
 
     def median(self, empty: float) -> float:
-        """The median, of an even number the higher of the middle two; ``empty`` where there is none."""
+        """Return the median; the higher of the middle two for an even number of values.
+
+        Args:
+            empty: The result if there are no values.
+        """
         return self.values[len(self.values) // 2] if self.values else empty
 
     def __len__(self) -> int:
--- a/gatebank/statistics/sliding_window.py
+++ b/gatebank/statistics/sliding_window.py
@@ -1,8 +1,8 @@
-"""Rows by time with running counts by kind: adding one and counting cost the same at any size.
+"""Rows by time with a running count of each kind. Adding a row and counting cost the same at any size.
 
-A row is looked at twice in its life, when it comes and when it goes. Times come in order; one that is older
-than the newest counts as that old still, and goes when those before it have gone: counted for too long, never
-for too short.
+A row is handled twice, when it is added and when it is dropped. Rows are added in the order of their times.
+A row that is older than the newest one keeps its place behind it and is dropped only after all rows before
+it: it may be counted for too long, but never for too short a time.
 """
 
 from __future__ import annotations
@@ -33,16 +33,20 @@
     __slots__ = ("counts", "rows")
 
     def __init__(self) -> None:
-        self.rows: deque[tuple[float, KindT]] = deque()  # emptied by `expire`
-        self.counts: dict[KindT, int] = {}  # as many as there are kinds in the rows
+        # The number of rows is bounded only by calls of `expire`.
+        self.rows: deque[tuple[float, KindT]] = deque()
+        # Has an entry for each kind that occurs in the rows.
+        self.counts: dict[KindT, int] = {}
 
     def add(self, at: float, kind: KindT) -> None:
-        """Add a row of a time that is not before the newest one's."""
+        """Add a row; its time is no earlier than the newest row's."""
         self.rows.append((at, kind))
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def restamp(self, at: float, kind: KindT, now: float) -> None:
-        """The row of that time counts as one of now. It is searched for: for what happens seldom.
+        """Give the row of a time the time ``now``, and add the row if it has been dropped.
+
+        The row is searched for, so that this is for rare events only.
 
         >>> window: SlidingWindow[str] = SlidingWindow()
         >>> window.add(1.0, "a"), window.restamp(1.0, "a", 2.0), window.expire(1.5), window.count("a")
@@ -50,18 +54,18 @@
         """
         try:
             self.rows.remove((at, kind))
-        except ValueError:  # it is gone with its time
+        except ValueError:  # the row has been dropped
             self.counts[kind] = self.counts.get(kind, 0) + 1
         self.rows.append((now, kind))
 
     def prepend(self, rows: Iterable[tuple[float, KindT]]) -> None:
-        """Add rows older than all here, in any order."""
+        """Add rows that are older than all present ones, in any order."""
         for at, kind in sorted(rows, key=lambda row: row[0], reverse=True):
             self.rows.appendleft((at, kind))
             self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def expire(self, before: float, *, inclusive: bool = False) -> None:
-        """Drop what is older than that, and with ``inclusive`` what is just as old."""
+        """Drop the rows that are older than a time, with ``inclusive`` also the rows of that time."""
         rows = self.rows
         counts = self.counts
         while rows and (rows[0][0] < before or (inclusive and rows[0][0] == before)):
@@ -72,7 +76,7 @@
                 counts[kind] -= 1
 
     def count(self, *kinds: KindT) -> int:
-        """Rows of these kinds; of all, where none is named."""
+        """Return the number of rows of these kinds, or of all rows if no kind is given."""
         return sum(self.counts.get(kind, 0) for kind in kinds) if kinds else len(self.rows)
 
     @property
@@ -80,7 +84,7 @@
         """The time of the oldest row.
 
         Raises:
-            IndexError: there is none.
+            IndexError: There are no rows.
         """
         return self.rows[0][0]
 
