--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -45,7 +45,7 @@
 
 
 class EndpointGroups:
-    """A fixed sequence of endpoints in groups. `ejection_changed` must be called after each change of an ejection."""
+    """A fixed sequence of endpoints in groups. Callers report each ejection and its end to `ejection_changed`."""
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
         self.endpoints = endpoints
