--- a/gatebank/state_transfer/background_tasks.py
+++ b/gatebank/state_transfer/background_tasks.py
@@ -1,4 +1,4 @@
-"""One owner for the tasks that run beside the service."""
+"""Ownership of the background tasks of state transfer."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class BackgroundTasks:
-    """Tasks that are forgotten as they end and cancelled together; ``len`` is the number that run.
+    """A set of running tasks that can be cancelled together; ``len`` returns the number of running tasks.
 
-    In an `asyncio.TaskGroup` a task that fails would end the others. Here it ends alone: a fault in one
-    transfer costs neither another one nor the service.
+    In an `asyncio.TaskGroup`, a task that fails would cancel the other tasks. In this class, a failing task
+    ends alone: a fault in one transfer affects neither other transfers nor the service.
     """
 
     def __init__(self) -> None:
@@ -23,19 +23,19 @@
     def __len__(self) -> int:
         return len(self.tasks)
 
-    def start(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs a coroutine until it ends or `cancel` is called."""
-        task = asyncio.ensure_future(work)
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine as a task until the coroutine ends or `cancel` is called."""
+        task = asyncio.ensure_future(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.on_done)
 
     def on_done(self, task: asyncio.Task[None]) -> None:
-        """Forgets a task, and logs an exception: whatever can come is handled in the task itself."""
+        """Removes an ended task, and logs its exception, which is a bug: tasks handle expected errors."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
             say("learning_fault", logging.ERROR, why=repr(error))
 
     def cancel(self) -> None:
-        """Cancels all tasks; they end in the next turns of the event loop."""
+        """Cancels all tasks; the tasks end in the next iterations of the event loop."""
         for task in list(self.tasks):
             task.cancel()
--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a state transfer on asyncio's sockets, with TLS or plain."""
+"""One connection of a state transfer on asyncio sockets, plain or with TLS."""
 
 from __future__ import annotations
 
@@ -9,50 +9,65 @@
 from gatebank.proxy.configuration import Address
 from gatebank.proxy.sockets import opened
 
-RECEIVE_BYTES = 64 * 1024  # of one read: a part
-# Seconds for a connection to be established, and as long again for its handshake: peers are on one network.
+# Size of the receive buffer of a read: large enough for one part.
+RECEIVE_BYTES = 64 * 1024
+# Timeout in seconds for establishing a connection, and again for its TLS handshake. It is short because all
+# instances are on one network.
 CONNECT_TIMEOUT = 1.0
 
 
 class Connection:
-    """A connected socket and its TLS; its owner closes it, by `contextlib.closing` or in `finally`."""
+    """A socket and its TLS state. The owner closes it with `contextlib.closing` or in `finally`."""
 
     def __init__(self, sock: socket.socket, tls: TlsStream | None) -> None:
-        """Takes a non-blocking socket; without ``tls`` the connection is plain."""
+        """Wraps a socket.
+
+        Args:
+            sock: A non-blocking socket, connected or not.
+            tls: TLS state of the connection; None for a plain connection.
+        """
         self.loop = asyncio.get_running_loop()
         self.sock = sock
         self.tls = tls
         self.buffer = bytearray(RECEIVE_BYTES)
-        # Plain bytes that came together with the end of the handshake.
+        # Decrypted bytes that arrived together with the last bytes of the handshake.
         self.early_data = b""
 
     @classmethod
-    def for_address(cls, where: Address, tls: TlsStream | None) -> Connection:
-        """Returns an unconnected one of the address's family; `connect` follows."""
-        return cls(opened(where), tls)
+    def for_address(cls, address: Address, tls: TlsStream | None) -> Connection:
+        """Returns an unconnected connection of the address's family; call `connect` next."""
+        return cls(opened(address), tls)
 
-    async def connect(self, where: Address, seconds: float = CONNECT_TIMEOUT) -> None:
-        """Connects, and does the handshake.
+    async def connect(self, address: Address, seconds: float = CONNECT_TIMEOUT) -> None:
+        """Connects to an address and performs the TLS handshake.
 
         Args:
-            where: the source's address.
-            seconds: for the connection, and as many for the handshake.
+            address: The source's address.
+            seconds: Timeout for establishing the connection, and again for the handshake.
 
         Raises:
-            OSError: of the connection; an ssl.SSLError of the handshake.
-            TimeoutError: either took too long.
+            OSError: The connection failed; the subclass ssl.SSLError if the handshake failed.
+            TimeoutError: The connection or the handshake took too long.
         """
         async with asyncio.timeout(seconds):
-            await self.loop.sock_connect(self.sock, where)
+            await self.loop.sock_connect(self.sock, address)
         await self.handshake(seconds)
 
     async def handshake(self, seconds: float = CONNECT_TIMEOUT) -> None:
-        """Does the TLS handshake, if there is one to do; raises as `connect` does."""
+        """Performs the TLS handshake; does nothing on a plain connection.
+
+        Args:
+            seconds: Timeout of the handshake.
+
+        Raises:
+            OSError: The connection was lost; the subclass ssl.SSLError if the handshake failed.
+            TimeoutError: The handshake took too long.
+        """
         async with asyncio.timeout(seconds):
             await self.exchange_handshake()
 
     async def exchange_handshake(self) -> None:
-        """Moves bytes until TLS is ready."""
+        """Exchanges handshake bytes with the peer until TLS is ready."""
         if self.tls is None:
             return
         self.tls.feed(b"")
@@ -63,18 +78,18 @@
                 return
             size = await self.loop.sock_recv_into(self.sock, self.buffer)
             if not size:
-                raise ConnectionError("it ended amid the handshake")
+                raise ConnectionError("connection closed during the TLS handshake")
             self.early_data = self.tls.feed(memoryview(self.buffer)[:size])
 
     async def send(self, data: bytes) -> None:
-        """Sends all of it."""
+        """Sends all bytes of ``data``."""
         if self.tls is not None:
             self.tls.encrypt(data)
             data = self.tls.outgoing()
         await self.loop.sock_sendall(self.sock, data)
 
     async def read(self) -> bytes:
-        """Returns some bytes; none once the other side has ended the connection."""
+        """Returns received bytes, decrypted; empty once the peer has closed the connection."""
         if self.early_data:
             data = self.early_data
             self.early_data = b""
--- a/gatebank/state_transfer/index_names.py
+++ b/gatebank/state_transfer/index_names.py
@@ -1,4 +1,4 @@
-"""The names behind the balancer's small indices, and who an item comes from."""
+"""Names for the balancer's numeric indices, and the origin of an item."""
 
 from __future__ import annotations
 
@@ -8,46 +8,56 @@
 from gatebank.core.llr_sums import Statistic
 from gatebank.settings import Settings
 
+# Stored names of the likelihood ratios that do not belong to one request class.
 STORED_RATIO_NAMES = {
     Statistic.ERRORS: "broke",
     Statistic.LATE: "late",
     Statistic.LATE_EVERYWHERE: "everywhere",
     Statistic.CONNECTIONS_LOST: "cut",
-}  # as they are stored
-CLASS_ERRORS_PREFIX = "errors:"  # and the class's name
+}
+# Stored names of the other ratios are this prefix and the name of the request class.
+CLASS_ERRORS_PREFIX = "errors:"
 
 
 class IndexNames:
-    """What the balancer's indices stand for.
+    """Translates between the balancer's indices and names.
 
     Attributes:
-        endpoints: names by index; empty or None where an index stands for none.
-        request_classes: names in the order of their indices.
+        endpoints: Names of endpoints by index; empty or None for an index without an endpoint.
+        request_classes: Names of request classes by index.
+        machine_kinds: Names of machine kinds by index.
     """
 
     def __init__(self, settings: Settings, endpoints: Mapping[int, str] | Sequence[str | None]) -> None:
         self.endpoints = endpoints
-        self.request_classes = [each.name for each in settings.request_classes]
+        self.request_classes = [request_class.name for request_class in settings.request_classes]
         self.machine_kinds = list(settings.kinds)
 
     def machine_kind(self, index: int) -> str:
-        """The name of a machine kind."""
+        """Returns the name of a machine kind, or "#" and the index if the settings do not have the index."""
         known = 0 <= index < len(self.machine_kinds)
         return str(self.machine_kinds[index]) if known else f"#{index}"
 
     def ratio(self, statistic: int) -> str:
-        """The stored name of a statistic of the sequential test."""
-        of_class = statistic - Statistic.FIRST_CLASS
-        return STORED_RATIO_NAMES.get(statistic) or f"{CLASS_ERRORS_PREFIX}{self.request_classes[of_class]}"
+        """Returns the stored name of a statistic of the sequential test."""
+        class_index = statistic - Statistic.FIRST_CLASS
+        return (
+            STORED_RATIO_NAMES.get(statistic) or f"{CLASS_ERRORS_PREFIX}{self.request_classes[class_index]}"
+        )
 
     def endpoint_indices(self, indices: Iterable[int]) -> dict[str, int]:
-        """Those indices by their names."""
+        """Returns the given endpoint indices by name, without those that have no name."""
         names = ((index, self.endpoints[index]) for index in indices)
         return {name: index for index, name in names if name is not None}
 
 
 class Origin(NamedTuple):
-    """Who saw it: an instance by name, and which start of it."""
+    """The instance that observed an item.
+
+    Attributes:
+        name: Name of the instance.
+        incarnation: Random number of that instance's start.
+    """
 
     name: str
     incarnation: int
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -1,4 +1,4 @@
-"""What was received from other instances: kept, merged, and brought to the balancer's indices. No I/O."""
+"""Stores received items, merges them and converts the result to the balancer's indices. No I/O."""
 
 from __future__ import annotations
 
@@ -30,56 +30,80 @@
 )
 from gatebank.state_transfer.weighting import MAX_AGE, EndpointProcess, HalfLives, MergedState, merge_items
 
-MAX_INHERITED_ITEMS = 100_000  # five kinds of the most that one transfer holds
-MIN_AGE_DIFFERENCE = (
-    0.001  # seconds by which an item must be younger to replace one of the same subject and origin
-)
+# Maximum number of stored items: room for five kinds with as many items as a transfer holds of each.
+MAX_INHERITED_ITEMS = 100_000
+# Seconds by which an item must be younger than the stored item of equal identity to replace it.
+MIN_AGE_DIFFERENCE = 0.001
 
 
 class InheritedItem(NamedTuple):
-    """An item and when it came."""
+    """A received item.
+
+    Attributes:
+        item: The item as received.
+        received_at: Time of receipt on the balancer's clock, in seconds.
+    """
 
     item: StateItem
     received_at: float
 
     def age(self, now: float) -> float:
-        """Its age by now, in seconds."""
+        """Returns the item's age at time ``now``, in seconds."""
         return self.item.age + now - self.received_at
 
 
 class InheritedItems:
-    """What was received; each item goes when it is too old or replaced by a younger one."""
+    """Stores received items until they are too old or replaced by younger items of equal identity.
+
+    Attributes:
+        by_identity: The stored items; the keys are those of `items.identity`.
+    """
 
     def __init__(self) -> None:
         self.by_identity: dict[Hashable, InheritedItem] = {}
 
     def put(self, items: Iterable[StateItem], now: float) -> int:
-        """Keep items; how many told something new: none is kept as young from the same origin."""
-        fresh = 0
+        """Stores each item that is younger than the stored item of equal identity.
+
+        Args:
+            items: Received items.
+            now: The balancer's time in seconds.
+
+        Returns:
+            The number of items that were stored.
+        """
+        new_count = 0
         for item in newest(items):
             key = identity(item)
-            row = self.by_identity.get(key)
-            if row is None or item.age < row.age(now) - MIN_AGE_DIFFERENCE:
+            stored = self.by_identity.get(key)
+            if stored is None or item.age < stored.age(now) - MIN_AGE_DIFFERENCE:
                 self.by_identity[key] = InheritedItem(item, now)
-                fresh += 1
+                new_count += 1
         excess = len(self.by_identity) - MAX_INHERITED_ITEMS
         if excess > 0:
             for oldest in list(self.by_identity)[:excess]:
                 del self.by_identity[oldest]
-        return fresh
+        return new_count
 
     def items(self, now: float) -> list[StateItem]:
-        """All, as old as they are by now; what is too old goes."""
-        self.by_identity = {key: row for key, row in self.by_identity.items() if row.age(now) <= MAX_AGE}
-        return [row.item.older(now - row.received_at) for row in self.by_identity.values()]
+        """Deletes items older than MAX_AGE, and returns the others with their ages at time ``now``."""
+        self.by_identity = {
+            key: stored for key, stored in self.by_identity.items() if stored.age(now) <= MAX_AGE
+        }
+        return [stored.item.older(now - stored.received_at) for stored in self.by_identity.values()]
 
 
 class InheritedKnowledge:
-    """What was received, merged and brought to the balancer's indices.
+    """Received items, with their conversion to the state that the balancer applies.
 
     Attributes:
-        received: the items themselves.
-        window_known: the snapshot of an orderly shutdown of this name holds the whole last exposure window.
+        state: The balancer's state.
+        names: Names of the balancer's indices.
+        origin: This instance, as the origin of its own items.
+        half_lives: Half-lives of the kinds of items.
+        received: The stored items.
+        window_known: Whether the items hold the complete last exposure window of this instance's previous
+            start, from a snapshot that an orderly shutdown wrote.
     """
 
     def __init__(
@@ -93,17 +117,17 @@
         self.window_known = False
 
     def put(self, items: list[StateItem], now: float) -> int:
-        """Keep items; how many told something new."""
+        """Stores items that this incarnation did not observe itself; returns how many were new."""
         return self.received.put([item for item in items if not self.is_own(item)], now)
 
     def is_own(self, item: StateItem) -> bool:
-        """Whether this very incarnation said it, and it came back."""
+        """Returns whether this incarnation itself is the item's origin, and the item was sent back to it."""
         if isinstance(item, SequentialTestSums):
             return False
         return Origin(item.origin, item.incarnation) == self.origin
 
     def merged(self, now: float) -> MergedState:
-        """What is to be believed by now."""
+        """Returns the stored items, merged with their weights at time ``now``."""
         processes: dict[str, EndpointProcess] = {}
         for index, endpoint in self.state.endpoints.by_index.items():
             listed = endpoint.listed
@@ -111,12 +135,15 @@
             if listed.condition is Condition.READY and name is not None:
                 processes[name] = EndpointProcess(name, listed.build, listed.started)
         window = self.state.settings.release.exposure_window
-        found = merge_items(self.received.items(now), processes, self.origin.name, window, self.half_lives)
-        found.window_known = self.window_known
-        return found
+        merged = merge_items(self.received.items(now), processes, self.origin.name, window, self.half_lives)
+        merged.window_known = self.window_known
+        return merged
 
     def inherited_state(self, merged: MergedState, now: float) -> InheritedState:
-        """Merged items as the balancer takes them; names that this instance does not know are left out."""
+        """Converts merged items to the state that the balancer applies.
+
+        Names that this instance does not know are left out.
+        """
         indices = self.names.endpoint_indices(self.state.endpoints.by_index)
         statistics = range(len(self.state.baseline_errors))
         ratios = {self.names.ratio(statistic): statistic for statistic in statistics}
@@ -125,18 +152,20 @@
         return InheritedState(
             endpoints={
                 indices[name]: InheritedEndpoint(
-                    latency_ratio=belief.latency_ratio,
-                    failure_rate=belief.failure_rate,
-                    ejected=belief.ejected,
-                    ejection_time=belief.ejection_time,
-                    cold_rate=belief.slow_start_rate,
+                    latency_ratio=endpoint.latency_ratio,
+                    failure_rate=endpoint.failure_rate,
+                    ejected=endpoint.ejected,
+                    ejection_time=endpoint.ejection_time,
+                    cold_rate=endpoint.slow_start_rate,
                 )
-                for name, belief in merged.endpoints.items()
+                for name, endpoint in merged.endpoints.items()
                 if name in indices
             },
             reports=self.reports(merged),
             baseline_errors={
-                ratios[name]: BaselineErrors(*row) for name, row in merged.baseline.items() if name in ratios
+                ratios[name]: BaselineErrors(*failures)
+                for name, failures in merged.baseline.items()
+                if name in ratios
             },
             latency=latency,
             baseline_latency=baseline_latency,
@@ -146,23 +175,23 @@
         )
 
     def class_indices(self) -> dict[str, int]:
-        """Request classes by name."""
+        """Returns the indices of request classes by name."""
         return {name: index for index, name in enumerate(self.names.request_classes)}
 
     def latencies(
         self, merged: MergedState
     ) -> tuple[dict[int, LatencyEstimate], dict[tuple[int, int], LatencyEstimate]]:
-        """Usual times by request class, and the baseline's by class and machine kind."""
+        """Returns usual latencies by request class, and the baseline's by request class and machine kind."""
         classes = self.class_indices()
         kind_count = len(self.names.machine_kinds)
         kinds = {self.names.machine_kind(index): index for index in range(kind_count)}
         by_class: dict[int, LatencyEstimate] = {}
         baseline: dict[tuple[int, int], LatencyEstimate] = {}
-        for key, belief in merged.latencies.items():
+        for key, latency in merged.latencies.items():
             if key.request_class not in classes:
                 continue
             request_class = classes[key.request_class]
-            estimate = LatencyEstimate(belief.latency, belief.outcomes)
+            estimate = LatencyEstimate(latency.latency, latency.outcomes)
             if not key.machine_kind:
                 by_class[request_class] = estimate
             elif key.machine_kind in kinds:
@@ -170,22 +199,25 @@
         return by_class, baseline
 
     def reports(self, merged: MergedState) -> list[tuple[int, InstanceReport]]:
-        """Whole sums of other incarnations, with the instance that made them."""
-        last = Statistic.oldest_errors(len(self.names.request_classes))
-        found = []
+        """Returns the total sums of other incarnations as pairs of instance number and report."""
+        last_statistic = Statistic.oldest_errors(len(self.names.request_classes))
+        reports = []
         for item in merged.sums:
             if item.instance < self.state.settings.instance_count:
                 sums = {
-                    statistic: LlrSum(each.value, each.outcomes)
-                    for statistic, each in item.ratios.items()
-                    if 0 <= statistic <= last
+                    statistic: LlrSum(ratio.value, ratio.outcomes)
+                    for statistic, ratio in item.ratios.items()
+                    if 0 <= statistic <= last_statistic
                 }
                 report = InstanceReport(item.incarnation, item.build, item.stage, 0.0, 0.0, {}, sums)
-                found.append((item.instance, report))
-        return found
+                reports.append((item.instance, report))
+        return reports
 
     def window(self, merged: MergedState, now: float) -> tuple[list[SentRow], list[AcceptedRow]]:
-        """Attempts and requests of a former incarnation in the exposure window, aged from this start."""
+        """Returns the attempts and requests of earlier incarnations of this instance in the exposure window.
+
+        Their ages are converted to seconds before this incarnation's start.
+        """
         classes = self.class_indices()
         window = self.state.settings.release.exposure_window
         since_start = now - self.state.started_at
@@ -203,7 +235,10 @@
 
 
 def release_status(report: ReleaseReport) -> ReleaseStatus:
-    """A source's report as if the release service had told it; a build that rolls back gets nothing."""
+    """Converts a source's report to a status as the release service sends it.
+
+    The cap of a build that rolls back or is rolled back is 0.
+    """
     phase = Phase(report.phase)
     cap = 0.0 if phase in (Phase.ROLLING_BACK, Phase.ROLLED_BACK) else report.cap
     return ReleaseStatus(ReplyStatus.ACCEPTED, False, report.build, report.stage, phase, cap, report.age)
--- a/gatebank/state_transfer/items.py
+++ b/gatebank/state_transfer/items.py
@@ -1,13 +1,13 @@
-"""What an instance knows, as data: the items of a state transfer and of a snapshot, and their stored form.
+"""The items of a state transfer and of a snapshot, and their stored form.
 
-Every item says which instance observed it, how old it is and from how many outcomes it was made. Ages are
-seconds before the moment of sending, never a clock's time, because a source's clock may be hours off. An
-item that is passed on keeps its origin and grows older, so two instances that have just started and ask each
-other end with no more than they began with.
+Every item holds its origin (the instance that observed it), its age and the number of outcomes behind it.
+Ages are seconds before the time of sending, never clock times, because a source's clock may be hours off.
+An item that an instance passes on keeps its origin, and its age keeps growing. Two instances that have just
+started and ask each other therefore gain no information from each other.
 
-The form has a version. A reader takes its own version, the one before and the one after: fields are added
-with defaults, unknown fields are ignored by msgspec, and items of an unknown kind are skipped. Attributes
-have the names of docs/glossary.md; the stored names (`msgspec.field(name=...)`) never change.
+The stored form has a version. A reader accepts its own version, the previous one and the next one: new fields
+have defaults, msgspec ignores unknown fields, and items of an unknown kind are skipped. Attributes have the
+names of docs/glossary.md; the stored names (`msgspec.field(name=...)`) never change.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 FORMAT_VERSION = 1
 READABLE_VERSIONS = (FORMAT_VERSION - 1, FORMAT_VERSION, FORMAT_VERSION + 1)
 
-# Items in a part: the endpoints of a fleet of ten thousand, twice, as none is known to be larger.
+# Maximum number of items in a part: twice the endpoints of a fleet of 10,000, the largest known size.
 MAX_ITEMS = 20_000
-# Ratios in one item of sums: a handful per request class, so no real item comes near it.
+# Maximum number of ratios in one item of sums: far above the few ratios per request class of a real item.
 MAX_RATIOS = 4096
 
 Name = Annotated[str, Meta(max_length=256)]
@@ -34,15 +34,16 @@
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 OutcomeCount = Annotated[int, Meta(ge=0, le=1_000_000_000)]
 Seconds = Annotated[float, Meta(ge=0, le=1e6)]
-Number = Annotated[int, Meta(ge=0, le=2**53)]  # exact as a double, for readers in other languages
+# Up to 2**53, because readers in other languages may hold numbers as doubles, which are exact up to there.
+Number = Annotated[int, Meta(ge=0, le=2**53)]
 LogLikelihood = Annotated[float, Meta(ge=-1e6, le=1e6)]
 
 
 class InvalidItemError(GatebankError):
-    """A part whose figures are out of range, or that holds no items at all.
+    """A part has values out of range, or is not a list of items.
 
     Attributes:
-        reason: what is wrong, with the place in the data.
+        reason: Description of the error, with its place in the data.
     """
 
     def __init__(self, reason: str) -> None:
@@ -51,13 +52,13 @@
 
 
 class Item(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What all items have.
+    """The fields that all items have.
 
     Attributes:
-        origin: name of the instance that observed it.
-        incarnation: which start of that instance.
-        age: seconds since the observation.
-        outcomes: number of outcomes it was made from.
+        origin: Name of the instance that made the observation.
+        incarnation: Random number of that instance's start.
+        age: Seconds since the observation.
+        outcomes: Number of outcomes behind the item.
     """
 
     origin: Name = field(name="by")
@@ -66,7 +67,7 @@
     outcomes: OutcomeCount = field(default=0, name="seen")
 
     def older(self, seconds: float) -> Self:
-        """Returns the item as it is after so many seconds; negative ones count as none."""
+        """Returns the item with an age greater by ``seconds``; a negative number counts as 0."""
         return msgspec.structs.replace(self, age=self.age + max(0.0, seconds))
 
 
@@ -74,8 +75,10 @@
     """The newest status of the release service that the origin received.
 
     Attributes:
-        phase: number of an `events.Phase`.
-        cap: largest fraction of requests for the canary; None where the status gave none.
+        build: The build that is being released.
+        stage: Index of the release stage.
+        phase: Value of an `events.Phase`.
+        cap: Maximum fraction of requests for the canary; None if the status had no cap.
     """
 
     build: Number
@@ -85,11 +88,13 @@
 
 
 class SlowStartRate(Item, tag="cold", frozen=True, kw_only=True):
-    """What the origin sends to an endpoint that has just started.
+    """Rate of the origin's attempts at an endpoint in slow start.
 
     Attributes:
+        endpoint: Name of the endpoint.
+        build: Build that the endpoint runs.
         started: Unix time of the endpoint's start.
-        rate: attempts a second.
+        rate: Attempts per second.
     """
 
     endpoint: Name = field(name="node")
@@ -99,14 +104,16 @@
 
 
 class EndpointHealth(Item, tag="node", frozen=True, kw_only=True):
-    """How one process of an endpoint does; the process is given by name, build and start.
+    """Health of one process of an endpoint; endpoint name, build and start time identify the process.
 
     Attributes:
-        started: Unix time of the endpoint's start, if it is known.
-        latency_ratio: its latencies over the usual ones.
-        failure_rate: fraction of its attempts that failed.
-        ejected: whether the origin has ejected it.
-        ejection_time: seconds of the present ejection.
+        endpoint: Name of the endpoint.
+        build: Build that the endpoint runs.
+        started: Unix time of the endpoint's start; None if unknown.
+        latency_ratio: The endpoint's latencies divided by the usual latencies.
+        failure_rate: Fraction of attempts at the endpoint that failed.
+        ejected: Whether the origin has ejected the endpoint.
+        ejection_time: Duration of the current ejection in seconds.
     """
 
     endpoint: Name = field(name="node")
@@ -119,11 +126,11 @@
 
 
 class RatioSum(NamedTuple):
-    """The sum of one ratio of a sequential test; stored as an array of two.
+    """The sum of one statistic of a sequential test; stored as an array of two.
 
     Attributes:
-        value: log-likelihood ratio summed over outcomes.
-        outcomes: number of outcomes in it.
+        value: Sum of the log-likelihood ratios of the outcomes.
+        outcomes: Number of outcomes in the sum.
     """
 
     value: LogLikelihood
@@ -131,12 +138,15 @@
 
 
 class SequentialTestSums(Item, tag="sums", frozen=True, kw_only=True):
-    """An instance's own sums of the sequential test of a build's stage, by number of ratio.
+    """One instance's own sums of the sequential test of a build in one stage.
 
-    They are whole sums and not increments: merging the same sums twice changes nothing.
+    The sums are totals and not increments, so merging the same sums twice changes nothing.
 
     Attributes:
-        instance: number of the instance whose sums they are; `incarnation` is of that instance too.
+        build: The build under test.
+        stage: Index of the stage.
+        instance: Number of the instance that made the sums; `incarnation` belongs to that instance too.
+        ratios: The sums by number of the statistic.
     """
 
     build: Number
@@ -146,12 +156,13 @@
 
 
 class BaselineFailures(Item, tag="past", frozen=True, kw_only=True):
-    """How often the baseline build fails, by name of ratio; the counts fade with time.
+    """How often the baseline build fails by one statistic; the counts decay with time.
 
     Attributes:
-        weighted_failures: faded number of bad outcomes.
-        weighted_total: faded number of all outcomes.
-        recent_rate: fraction of bad ones among the last ten.
+        ratio: Stored name of the statistic.
+        weighted_failures: Decayed number of bad outcomes.
+        weighted_total: Decayed number of all outcomes.
+        recent_rate: Fraction of bad outcomes among the last ten outcomes.
     """
 
     ratio: Name
@@ -164,8 +175,10 @@
     """The usual latency of a request class's successful attempts, in seconds.
 
     Attributes:
-        machine_kind: empty for all endpoints; else the baseline build's latency on machines of this kind.
-        latency: seconds.
+        request_class: Name of the request class.
+        machine_kind: Empty if the latency is that of all endpoints; otherwise the machine kind on which the
+            baseline build has this latency.
+        latency: Mean latency in seconds.
     """
 
     request_class: Name = field(name="workload")
@@ -174,9 +187,10 @@
 
 
 class SentAttempt(Item, tag="sent", frozen=True, kw_only=True):
-    """One attempt of the origin at a build in the last exposure window: one item each, so `age` is exact.
+    """One attempt of the origin at a build in the last exposure window.
 
-    Of use only to a later start of the instance of that name.
+    Each attempt is a separate item, so that `age` is exact. The item is of use only to a later start of the
+    origin itself.
     """
 
     build: Number
@@ -199,7 +213,8 @@
     | SentAttempt
     | AdmittedRequest
 )
-# The kinds, the most valuable first: what limits traffic, then what decides a canary, then what informs.
+# The kinds by descending priority: items that limit traffic, then items that decide about a canary, then
+# items that only improve estimates.
 KINDS_BY_PRIORITY: tuple[type[StateItem], ...] = (
     ReleaseReport,
     SlowStartRate,
@@ -211,12 +226,12 @@
     UsualLatency,
 )
 RANKS = {kind: rank for rank, kind in enumerate(KINDS_BY_PRIORITY)}
-# Ejected endpoints come right behind slow starts, and before the sums and healthy endpoints.
+# Items of ejected endpoints come directly after slow-start rates, before healthy endpoints and test sums.
 EJECTED_RANK = RANKS[SlowStartRate] + 0.5
 
 
 class Part(msgspec.Struct, frozen=True, kw_only=True):
-    """Items of any kinds that are sent or stored together; complete by itself."""
+    """Items of any kinds that are sent or stored together. A part can be decoded without any other part."""
 
     items: Annotated[list[msgspec.Raw], Meta(max_length=MAX_ITEMS)]
 
@@ -225,21 +240,21 @@
 PART_DECODER = msgspec.msgpack.Decoder(Part)
 ITEM_DECODER: msgspec.msgpack.Decoder[StateItem] = msgspec.msgpack.Decoder(StateItem)
 TAGS = frozenset(kind.__struct_config__.tag for kind in KINDS_BY_PRIORITY)
-# How an invalid item is called in messages, where that is not its capitalized tag.
+# Names of kinds of items in error messages, where the name is not the capitalized tag.
 TITLES: dict[type[Item], str] = {EndpointHealth: "Health"}
 
 
 def encode_part(items: Iterable[StateItem]) -> bytes:
-    """Returns a part in msgpack."""
+    """Returns the items as one part, encoded with msgpack."""
     return ENCODER.encode(Part(items=[msgspec.Raw(ENCODER.encode(item)) for item in items]))
 
 
 def decode_part(data: bytes | memoryview) -> list[StateItem]:
-    """Returns the items of a part; items of a kind that this version does not know are skipped.
+    """Returns the items of a part; items of an unknown kind are skipped.
 
     Raises:
-        InvalidItemError: an item is out of range. All items of its part are refused with it, because a
-            source that sends one impossible figure is not to be trusted with the others.
+        InvalidItemError: An item has a value out of range. The whole part is refused, because the other
+            values of a source that sends an impossible value cannot be trusted either.
 
     >>> latency = UsualLatency(origin="m", age=2.5, outcomes=7, request_class="read", latency=0.02)
     >>> decode_part(encode_part([latency])) == [latency]
@@ -260,11 +275,11 @@
 
 
 def decode_item(raw: msgspec.Raw) -> StateItem | None:
-    """Returns an item, or None if its kind is unknown.
+    """Decodes one item; returns None if its kind is unknown.
 
     Raises:
-        InvalidItemError: a figure is infinite or no number.
-        msgspec.DecodeError: it does not have the form of its kind.
+        InvalidItemError: A value is infinite or not a number.
+        msgspec.DecodeError: The item does not match the schema of its kind.
     """
     try:
         item = ITEM_DECODER.decode(raw)
@@ -274,18 +289,18 @@
         return None
     if not is_finite(item):
         title = TITLES.get(type(item)) or str(item.__struct_config__.tag).capitalize()
-        raise InvalidItemError(f"{title}: a figure is no number")
+        raise InvalidItemError(f"{title}: a value is infinite or not a number")
     return item
 
 
 def has_known_kind(raw: msgspec.Raw) -> bool:
-    """Returns whether an item that does not fit is of a known kind, or no item at all."""
+    """Returns whether data that matches no schema is an item of a known kind, or no item at all."""
     decoded = msgspec.msgpack.decode(raw)
     return not isinstance(decoded, dict) or decoded.get("type") in TAGS
 
 
 def is_finite(item: StateItem) -> bool:
-    """Returns whether all figures are finite; the ranges of the schema let "not a number" pass."""
+    """Returns whether all numbers of an item are finite; the schema's ranges do not exclude NaN."""
     for name in item.__struct_fields__:
         value = getattr(item, name)
         if isinstance(value, float) and not math.isfinite(value):
@@ -297,19 +312,19 @@
 
 
 def by_priority(items: Iterable[StateItem]) -> list[StateItem]:
-    """Returns the items, the most valuable first, so that a transfer may be cut off anywhere."""
+    """Returns the items by descending priority, so that an interrupted transfer has sent the first ones."""
 
-    def urgency(item: StateItem) -> tuple[float, float]:
+    def sort_key(item: StateItem) -> tuple[float, float]:
         rank: float = RANKS[type(item)]
         if isinstance(item, EndpointHealth) and item.ejected:
             rank = EJECTED_RANK
         return rank, item.age
 
-    return sorted(items, key=urgency)
+    return sorted(items, key=sort_key)
 
 
 def split_into_parts(items: Iterable[StateItem], part_bytes: int) -> Iterator[list[StateItem]]:
-    """Yields the items in order, in parts of about so many bytes."""
+    """Yields the items in order, in parts of at least ``part_bytes`` bytes each except the last."""
     part: list[StateItem] = []
     size = 0
     for item in items:
@@ -324,20 +339,20 @@
 
 
 def newest(items: Iterable[StateItem]) -> list[StateItem]:
-    """Returns the youngest item of each subject and origin; items of single events are all returned."""
-    found: dict[object, StateItem] = {}
+    """Returns the youngest item of each identity; items of single events all have identities of their own."""
+    youngest: dict[object, StateItem] = {}
     for item in items:
         key = identity(item)
-        if key not in found or item.age < found[key].age:
-            found[key] = item
-    return list(found.values())
+        if key not in youngest or item.age < youngest[key].age:
+            youngest[key] = item
+    return list(youngest.values())
 
 
 def identity(item: StateItem) -> tuple[str | int | float | None, ...] | int:
-    """Returns what an item is of and who observed it: equal for two items of which one replaces the other.
+    """Returns an item's subject and origin: of two items with equal identities, one replaces the other.
 
-    It is a plain tuple of stored tag and values since `gatebank learn diff` prints it. For an item of a
-    single event it is the object's number, so that none replaces another.
+    The identity is a plain tuple of the stored tag and values, because `gatebank learn diff` prints it. For
+    an item of a single event, the identity is the object's id, so that no such item replaces another.
     """
     subject: tuple[str | int | float | None, ...]
     match item:
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -1,4 +1,4 @@
-"""What this instance knows, as the parts of a state transfer use it: items out, items in and merged."""
+"""This instance's state for the other modules of state transfer: exports, receives and merges items."""
 
 from __future__ import annotations
 
@@ -16,21 +16,24 @@
 from gatebank.state_transfer.state_export import MAX_WINDOW_ROWS, StateExport
 from gatebank.state_transfer.weighting import HalfLives, OwnRelease, strictly_tighter
 
-# Seconds for which encoded items are reused for further receivers. Whatever is encoded is sent as so much
-# older, so that no item is younger at its receiver than it is.
+# Seconds for which encoded items are reused for further receivers. REUSE_TIME is added to the age of every
+# exported item, so that a reused item never appears younger to its receiver than it is.
 REUSE_TIME = 0.25
-INCARNATION_BYTES = 6  # random; 2**48 fits a stored number
+# Random bytes of an incarnation number: 2**48 is within the range of `items.Number`.
+INCARNATION_BYTES = 6
 
 
 class LocalState:
-    """The balancer's knowledge and what was received from sources.
+    """The balancer's state, and the items that were received from sources.
 
     Attributes:
-        name: of this instance.
-        deployment: see `protocol.deployment_id`.
-        incarnation: number of this start alone. The balancer's own may be the same after a restart, where
-            the configuration sets a seed.
-        received: number of items that told something new.
+        name: Name of this instance.
+        deployment: Id of the deployment, see `protocol.deployment_id`.
+        incarnation: Random number of this start. The balancer's own incarnation number is not used, because
+            it is the same after a restart if the configuration sets a seed.
+        received: Number of received items that were new.
+        started_at: Time of the start on the balancer's clock.
+        inherited: The received items.
     """
 
     def __init__(self, dispatcher: Dispatcher, name: str, half_lives: HalfLives) -> None:
@@ -45,46 +48,51 @@
         self.names = IndexNames(dispatcher.settings, dispatcher.registry.names)
         self.origin = Origin(name, self.incarnation)
         self.inherited = InheritedKnowledge(self.balancer.state, self.names, self.origin, half_lives)
-        # Attempts and requests of the last exposure window are applied once: twice they would count twice.
+        # Whether the attempts and requests of the last exposure window have been applied. They are applied
+        # only once, because each application would count them again.
         self.window_applied = False
 
     @property
     def seed(self) -> int:
-        """Of random choices: the balancer's own, so that a test can repeat them."""
+        """Seed of random choices: the balancer's own seed, so that a test can repeat the choices."""
         return self.balancer.state.incarnation
 
     def hello(self) -> Hello:
-        """Returns what this instance says of itself on a connection."""
+        """Returns the hello message of this instance."""
         uptime = max(0.0, self.clock() - self.started_at)
         return Hello(name=self.name, deployment=self.deployment, incarnation=self.incarnation, uptime=uptime)
 
     async def items(self, include_window: bool = False) -> list[StateItem]:
-        """Returns all that is known, the most valuable first, giving way to clients between slices.
+        """Returns all items by descending priority, and yields to the event loop between slices.
 
         Args:
-            include_window: also each attempt and request of the last exposure window, for a snapshot.
+            include_window: Whether to include each attempt and request of the last exposure window, for a
+                snapshot.
         """
         items: list[StateItem] = []
         export = StateExport(
             self.balancer.state, self.names, self.origin, self.clock(), self.inherited.received
         )
-        for some in export.slices(include_window=include_window):
-            items += [item.older(REUSE_TIME) for item in some]
+        for exported in export.slices(include_window=include_window):
+            items += [item.older(REUSE_TIME) for item in exported]
             await asyncio.sleep(0)
         return items
 
     def window_fits(self) -> bool:
-        """Returns whether `items` holds the whole last exposure window, and not only its latest attempts."""
+        """Returns whether `items` can hold all attempts of the last exposure window, not only the latest."""
         return sum(map(len, self.balancer.state.traffic.sent.values())) <= MAX_WINDOW_ROWS
 
     def receive(self, items: list[StateItem]) -> int:
-        """Keeps items of a source; returns how many told something new."""
-        count = self.inherited.put(items, self.clock())
-        self.received += count
-        return count
+        """Stores items that a source sent; returns how many were new."""
+        new_items = self.inherited.put(items, self.clock())
+        self.received += new_items
+        return new_items
 
     def merge(self) -> None:
-        """Applies what is believed by now to the balancer; a release status only where it restrains."""
+        """Merges all received items and applies the result to the balancer.
+
+        A release report is applied only if it is stricter than the status known to this instance.
+        """
         now = self.clock()
         merged = self.inherited.merged(now)
         state = self.inherited.inherited_state(merged, now)
@@ -92,14 +100,16 @@
             state = replace(state, sent=(), accepted=(), window_known=False)
         self.window_applied = self.window_applied or state.window_known
         self.dispatcher.dispatch(self.balancer.apply_inherited_state, state)
-        self.restrain(merged.release)
+        self.apply_stricter_release(merged.release)
 
-    def restrain(self, report: ReleaseReport | None) -> None:
-        """Passes a source's release status on if it allows less than what is known here."""
+    def apply_stricter_release(self, report: ReleaseReport | None) -> None:
+        """Applies a source's release report if it allows less than the status known to this instance."""
         status = self.balancer.state.release
         own = None
         if status and status.build is not None and status.phase is not None:
             own = OwnRelease(status.build, int(status.phase), status.cap)
-        if tighter := strictly_tighter(report, own):
-            say("learnt_news", logging.WARNING, build=tighter.build, phase=tighter.phase, by=tighter.origin)
-            self.dispatcher.on_release_status(release_status(tighter))
+        if stricter := strictly_tighter(report, own):
+            say(
+                "learnt_news", logging.WARNING, build=stricter.build, phase=stricter.phase, by=stricter.origin
+            )
+            self.dispatcher.on_release_status(release_status(stricter))
--- a/gatebank/state_transfer/peer_keys.py
+++ b/gatebank/state_transfer/peer_keys.py
@@ -1,4 +1,4 @@
-"""The keys of this instance's connections while it runs: whom they let in, and their renewal."""
+"""The TLS keys of this instance's connections: checks of peers, and reloading without a restart."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class PeerKeys:
-    """Makes TLS for connections and checks who is on the other side."""
+    """Creates TLS state for connections, and checks the certificates of peers."""
 
     def __init__(self, section: KeysSection, folder: Path) -> None:
         """Reads the keys.
 
         Args:
-            section: says where they are and how often they are looked at.
-            folder: that of the operators' file.
+            section: The folder of the keys and the interval between checks for new keys.
+            folder: Folder of the operators' file, at which relative paths begin.
 
         Raises:
-            ConfigurationError: they can't be used.
+            ConfigurationError: The keys cannot be used.
         """
         try:
             self.reloadable = ReloadableKeys(folder / section.folder)
@@ -34,16 +34,16 @@
         self.watch_interval = section.watch_interval
 
     def tls(self, is_server: bool) -> TlsStream:
-        """Returns TLS for a new connection, with the keys that are in force now."""
+        """Returns TLS state for a new connection, with the current keys."""
         keys = self.reloadable.keys
         return TlsStream(keys.server if is_server else keys.client, is_server)
 
     def rejection(self, tls: TlsStream, allowed: list[str]) -> str:
-        """Returns why the other side of a connection is not spoken to; empty if it is.
+        """Returns the reason for rejecting a peer, or an empty string if the peer is accepted.
 
         Args:
-            tls: of the connection, after its handshake.
-            allowed: names in certificates.
+            tls: TLS state of the connection, after the handshake.
+            allowed: Accepted names in certificates.
         """
         reason = self.reloadable.rejection(tls.peer_name, tls.peer_serial, frozenset(allowed))
         if reason:
@@ -51,7 +51,7 @@
         return reason
 
     def reload(self) -> None:
-        """Takes new keys from the folder into force; open connections keep theirs."""
+        """Loads changed keys from the folder; open connections keep the earlier keys."""
         earlier_error = self.reloadable.error
         if self.reloadable.reload():
             keys = self.reloadable.keys
@@ -60,11 +60,11 @@
             say("keys_failed", logging.ERROR, why=self.reloadable.error)
 
     async def watch(self) -> None:
-        """Reloads keys as they change, and warns of certificates that end soon, once for each."""
+        """Reloads changed keys periodically, and logs one warning for each certificate that expires soon."""
         warned = ""
         while True:
             warning = "; ".join(self.reloadable.keys.expiry_warnings(datetime.now(UTC)))
-            # The text counts down the days: before the first colon it names the certificate.
+            # The text before the first colon names the certificate; the text behind it changes as days pass.
             if warning and warning.partition(":")[0] != warned.partition(":")[0]:
                 say("keys_expire", logging.WARNING, what=warning)
             warned = warning
--- a/gatebank/state_transfer/protocol.py
+++ b/gatebank/state_transfer/protocol.py
@@ -1,9 +1,9 @@
-r"""The conversation on a state transfer's connection, in frames. No I/O: bytes in, typed messages out.
+r"""The protocol of a state transfer's connection, in frames. No I/O: bytes in, typed messages out.
 
-A frame is four bytes of length (big-endian, of what follows), one byte of kind, and a body in msgpack. Each
-side sends a hello. The receiver asks; the source sends parts, the most valuable first, and an end, or a
-refusal that says when to come back. Every part is complete by itself, so what arrived before a connection
-was lost can be used.
+A frame consists of a length of four bytes (big-endian; the number of bytes that follow), a kind of one byte
+and a body in msgpack. Each side sends a hello. The receiver sends a request. The source replies either with
+parts, by descending priority, and an end, or with a refusal that holds the time of the next attempt. Every
+part can be decoded without the others, so the parts that arrived before a lost connection can be used.
 
 >>> source = Conversation(Hello(name="s", deployment="x", incarnation=1))
 >>> receiver = Conversation(Hello(name="r", deployment="x", incarnation=2))
@@ -12,7 +12,7 @@
 ['Hello', 'Refusal']
 >>> receiver.feed(b"\xff\xff\xff\xff\x01")
 Traceback (most recent call last):
-gatebank.state_transfer.protocol.TransferProtocolError: a frame claims 4294967295 bytes
+gatebank.state_transfer.protocol.TransferProtocolError: invalid frame length of 4294967295 bytes
 """
 
 from __future__ import annotations
@@ -37,17 +37,18 @@
     encode_part,
 )
 
-# Bytes of a frame: a part has some 64 KiB, and one item of any kind fits in behind it.
+# Maximum bytes of a frame: a part has about 64 KiB and exceeds that by at most its last item, of any kind.
 MAX_FRAME_BYTES = 1 << 20
-# Bytes of one transfer: ten thousand endpoints take 2 MB.
+# Maximum bytes of one transfer: 10,000 endpoints take 2 MB.
 MAX_TRANSFER_BYTES = 64 << 20
-# Bytes after which a part is sent: large enough to cost little, small enough that a lost one costs little.
+# Size in bytes at which a part is complete: large enough for little overhead per part, small enough that the
+# loss of one part costs little.
 PART_BYTES = 1 << 16
 LENGTH_BYTES = 4
 
 
 class FrameKind(IntEnum):
-    """The kind byte of a frame; frames of other kinds are of a later version, and skipped."""
+    """The kind byte of a frame; frames of other kinds belong to a later version and are skipped."""
 
     HELLO = 1
     ASK = 2
@@ -57,10 +58,10 @@
 
 
 class TransferProtocolError(GatebankError):
-    """The other side does not speak as it should.
+    """The peer violates the protocol.
 
     Attributes:
-        reason: what it did.
+        reason: Description of the violation.
     """
 
     def __init__(self, reason: str) -> None:
@@ -69,12 +70,14 @@
 
 
 class Hello(msgspec.Struct, kw_only=True):
-    """Who speaks.
+    """The first message of each side, which identifies the sender.
 
     Attributes:
-        deployment: see `deployment_id`.
-        uptime: seconds since its start.
-        version: version of the items' form that it writes.
+        name: Name of the sending instance.
+        deployment: Id of the deployment, see `deployment_id`.
+        incarnation: Random number of the sender's start.
+        uptime: Seconds since the sender's start.
+        version: Version of the stored form that the sender writes.
     """
 
     name: Name
@@ -85,7 +88,7 @@
 
 
 class Ask(msgspec.Struct, kw_only=True):
-    """The receiver asks for at most so many bytes of parts."""
+    """The receiver's request for at most ``max_bytes`` bytes of parts."""
 
     max_bytes: Annotated[int, Meta(ge=0, le=MAX_TRANSFER_BYTES)] = field(
         default=MAX_TRANSFER_BYTES, name="most"
@@ -93,20 +96,21 @@
 
 
 class Refusal(msgspec.Struct, kw_only=True):
-    """The source sends nothing now; `retry_after` is in seconds."""
+    """The source sends no items now; the receiver may ask again after ``retry_after`` seconds."""
 
     retry_after: Annotated[float, Meta(ge=0, le=3600)] = field(default=1.0, name="back_in")
     reason: Name = field(default="busy", name="why")
 
 
 class End(msgspec.Struct, kw_only=True):
-    """The transfer is complete with so many parts."""
+    """The end of a complete transfer of ``part_count`` parts."""
 
     part_count: Annotated[int, Meta(ge=0, le=1_000_000)] = field(default=0, name="parts")
 
 
 Body = Hello | Ask | End | Refusal
-Message = Body | list[StateItem]  # the items of a part
+# A message is a decoded body; a part is represented by its items.
+Message = Body | list[StateItem]
 BODIES: dict[int, type[Body]] = {
     FrameKind.HELLO: Hello,
     FrameKind.ASK: Ask,
@@ -117,18 +121,18 @@
 
 
 def encode_frame(kind: int, body: Message) -> bytes:
-    """Returns a frame; the body of a part is its items."""
+    """Returns a frame; the body of a part is given as a list of items."""
     data = encode_part(body) if isinstance(body, list) else ENCODER.encode(body)
     return (len(data) + 1).to_bytes(LENGTH_BYTES, "big") + bytes((kind,)) + data
 
 
 class Conversation:
-    """One side's reading of the other; it is over once an `End` has come.
+    """Decodes and checks the frames that one side receives; the transfer is complete after an `End`.
 
     Attributes:
-        own: the hello of this side.
-        peer: that of the other side, once it has come.
-        ended: whether the transfer is complete.
+        own: The hello of this side.
+        peer: The hello of the peer, once received.
+        ended: Whether the transfer is complete.
     """
 
     def __init__(self, own: Hello) -> None:
@@ -144,11 +148,11 @@
         return encode_frame(FrameKind.HELLO, self.own)
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """Returns the messages that are complete with these bytes.
+        """Adds received bytes, and returns the messages that are complete with these bytes.
 
         Raises:
-            TransferProtocolError: the connection is of no more use.
-            InvalidItemError: likewise, because of the items of a part.
+            TransferProtocolError: The peer violated the protocol; the connection must be closed.
+            InvalidItemError: A part holds invalid items; the connection must be closed.
         """
         self.buffer += data
         self.total_bytes += len(data)
@@ -158,7 +162,7 @@
         while len(self.buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
             if not 1 <= size <= MAX_FRAME_BYTES:
-                raise TransferProtocolError(f"a frame claims {size} bytes")
+                raise TransferProtocolError(f"invalid frame length of {size} bytes")
             end = LENGTH_BYTES + size
             if len(self.buffer) < end:
                 break
@@ -171,9 +175,9 @@
         return messages
 
     def decode(self, kind: int, body: bytes) -> Message | None:
-        """Returns the message of a frame, None for one of a later version; raises as `feed` does."""
+        """Decodes a frame; returns None for a kind of a later version. Raises the same errors as `feed`."""
         if self.peer is None and kind != FrameKind.HELLO:
-            raise TransferProtocolError("it did not say who it is")
+            raise TransferProtocolError("frame received before the hello")
         if kind == FrameKind.PART:
             self.part_count += 1
             return decode_part(body)
@@ -188,22 +192,26 @@
         elif isinstance(message, End):
             self.ended = True
             if message.part_count != self.part_count:
-                raise TransferProtocolError(f"{self.part_count} parts came of {message.part_count}")
+                raise TransferProtocolError(f"received {self.part_count} parts of {message.part_count}")
         return message
 
     def check_hello(self, hello: Hello) -> None:
-        """Keeps the other side's hello if both sides can understand each other."""
+        """Stores the peer's hello if both sides have the same deployment and compatible versions."""
         if self.peer is not None:
-            raise TransferProtocolError("it said twice who it is")
+            raise TransferProtocolError("second hello received")
         if hello.deployment != self.own.deployment:
-            raise TransferProtocolError(f"it is of another deployment ({hello.deployment})")
+            raise TransferProtocolError(f"peer belongs to another deployment ({hello.deployment})")
         if hello.version not in READABLE_VERSIONS:
-            raise TransferProtocolError(f"its form {hello.version} is none of {READABLE_VERSIONS}")
+            raise TransferProtocolError(
+                f"peer has form {hello.version}; readable forms are {READABLE_VERSIONS}"
+            )
         self.peer = hello
 
 
 def deployment_id(settings: Settings) -> str:
-    """Returns an id of what both sides must share: request classes, machine kinds and zones, in their order.
+    """Returns an id of the settings that both sides must share: request classes, machine kinds and zones.
+
+    The order of the names matters.
 
     >>> from dataclasses import replace
     >>> one = Settings(kinds=["m"], zones=["z"])
--- a/gatebank/state_transfer/receiver.py
+++ b/gatebank/state_transfer/receiver.py
@@ -1,4 +1,4 @@
-"""The receiver in service: connections to sources, and what they send merged as it comes."""
+"""The receiver: connects to sources, and merges their items as they arrive."""
 
 from __future__ import annotations
 
@@ -29,40 +29,45 @@
 if TYPE_CHECKING:
     from gatebank.state_transfer.peer_keys import PeerKeys
 
-# Seconds without a byte: a source encodes a part in a millisecond.
+# Timeout in seconds without a received byte: a source encodes a part in a millisecond.
 SILENCE_TIMEOUT = 2.0
-# Seconds for one transfer, connection and all: 2 MB, of ten thousand endpoints, take 0.5 s at a source's
-# default rate, and 2 s beside three other receivers.
+# Timeout in seconds for one transfer, including the connection: the 2 MB of 10,000 endpoints take 0.5 s at a
+# source's default rate, and 2 s if the source serves three other receivers at the same time.
 TRANSFER_TIMEOUT = 15.0
 
 
 @dataclass(slots=True, frozen=True)
 class TransferResult:
-    """How a transfer ended: the number of new items, or seconds after which to ask again."""
+    """The result of a transfer that did not fail.
+
+    Attributes:
+        new_items: Number of received items that were new.
+        retry_after: Seconds after which to ask the source again; None if the transfer is complete.
+    """
 
     new_items: int = 0
     retry_after: float | None = None
 
 
 class StateReceiver:
-    """Asks sources until the selector has enough.
+    """Asks sources until the selector requires no further transfers.
 
     Attributes:
-        may_serve: set once the instance is not to wait any longer.
-        completed: transfers that came whole.
-        failed: attempts that failed; busy sources do not count.
+        may_serve: Set once the instance need not wait for sources any longer.
+        completed: Number of complete transfers.
+        failed: Number of failed attempts; refusals by busy sources do not count.
     """
 
     def __init__(
         self, section: StateTransferSection, state: LocalState, keys: PeerKeys | None, tasks: BackgroundTasks
     ) -> None:
-        """Makes no connection yet.
+        """Prepares the receiver without making a connection.
 
         Args:
-            section: sources, their names and limits; this instance's own address is not asked.
-            state: gets what comes.
-            keys: None on plain connections.
-            tasks: run the attempts.
+            section: Sources, their names and limits. This instance's own address is left out.
+            state: Stores and merges the received items.
+            keys: TLS keys; None for plain connections.
+            tasks: Runs the attempts.
         """
         self.source_names = section.source_names
         self.state = state
@@ -79,11 +84,11 @@
         self.failed = 0
 
     def begin(self) -> None:
-        """Starts asking."""
+        """Starts the first attempts."""
         self.connect(self.selector.begin(self.loop.time()))
 
     async def wait_until_may_serve(self) -> None:
-        """Waits for sources, for ``patience`` seconds at most."""
+        """Waits for transfers from sources, for at most ``patience`` seconds."""
         if not self.selector.sources:
             return
         try:
@@ -93,14 +98,14 @@
             say("learning_late", logging.WARNING, waited=self.patience)
 
     def connect(self, connections: list[ConnectToSource]) -> None:
-        """Starts the attempts that the selector asked for."""
+        """Starts the attempts that the selector chose."""
         for connection in connections:
             self.tasks.start(self.attempt_transfer(connection))
         if self.selector.may_serve(self.loop.time()):
             self.may_serve.set()
 
     async def attempt_transfer(self, connection: ConnectToSource) -> None:
-        """Makes one attempt at one source, and starts those that follow from its end."""
+        """Makes one attempt at one source, then starts the attempts that the selector chooses next."""
         source = connection.source
         await asyncio.sleep(max(0.0, connection.at - self.loop.time()))
         try:
@@ -116,7 +121,7 @@
             self.finish(source, result)
 
     def finish(self, source: str, result: TransferResult) -> None:
-        """Logs a transfer that did not fail, and goes on as it ended."""
+        """Handles the result of a transfer that did not fail: complete, or refused by the source."""
         now = self.loop.time()
         if result.retry_after is not None:
             say("donor_busy", donor=source, back_in=result.retry_after)
@@ -132,26 +137,28 @@
         say("donor_failed", logging.WARNING, donor=source, why=reason)
 
     async def transfer(self, source: str) -> TransferResult:
-        """Receives a source's state; what came before a failure has been merged.
+        """Receives a source's state; each part is merged as it arrives, even if the transfer fails later.
 
         Raises:
-            TransferProtocolError, InvalidItemError: the source is not to be asked again.
-            OSError: it failed; TimeoutError and ssl.SSLError are such.
+            TransferProtocolError: The source violated the protocol, or its certificate was rejected. The
+                source must not be asked again.
+            InvalidItemError: The source sent invalid items. The source must not be asked again.
+            OSError: The transfer failed. TimeoutError and ssl.SSLError are subclasses.
         """
-        where = address(source, "donor")
+        source_address = address(source, "donor")
         tls = self.keys.tls(is_server=False) if self.keys else None
         new_items = 0
-        with contextlib.closing(Connection.for_address(where, tls)) as connection:
-            await connection.connect(where)
+        with contextlib.closing(Connection.for_address(source_address, tls)) as connection:
+            await connection.connect(source_address)
             if self.keys and tls and (reason := self.keys.rejection(tls, self.source_names)):
-                raise TransferProtocolError(f"its certificate is {reason}")
+                raise TransferProtocolError(f"the source's certificate is {reason}")
             conversation = Conversation(self.state.hello())
             await connection.send(conversation.hello() + encode_frame(FrameKind.ASK, Ask()))
             while not conversation.ended:
                 async with asyncio.timeout(SILENCE_TIMEOUT):
                     data = await connection.read()
                 if not data:
-                    raise ConnectionError("it ended in the middle")
+                    raise ConnectionError("the source closed the connection during the transfer")
                 for message in conversation.feed(data):
                     if isinstance(message, Refusal):
                         return TransferResult(retry_after=message.retry_after)
@@ -162,7 +169,7 @@
 
 
 def failure_text(error: OSError) -> str:
-    """Returns why a connection failed, in the words of the log."""
+    """Returns the reason for a failed connection, as text for the log."""
     if isinstance(error, ssl.SSLError):
         return f"TLS: {error.reason or error}"
     if isinstance(error, TimeoutError):
--- a/gatebank/state_transfer/section.py
+++ b/gatebank/state_transfer/section.py
@@ -1,4 +1,4 @@
-"""`learning(...)` in the operators' file: where an instance's state comes from and goes to, and limits."""
+"""The `learning(...)` section of the operators' file: sources, receivers, snapshots and limits."""
 
 from __future__ import annotations
 
@@ -13,32 +13,34 @@
 from gatebank.proxy.configuration import ConfigurationError, address
 from gatebank.state_transfer.weighting import HalfLives
 
-HalfLife = Annotated[float, msgspec.Meta(gt=0, le=86400)]  # seconds, up to a day
+# Seconds, up to one day.
+HalfLife = Annotated[float, msgspec.Meta(gt=0, le=86400)]
 Addresses = Annotated[list[str], msgspec.Meta(max_length=1024)]
 CertificateNames = Annotated[list[str], msgspec.Meta(max_length=1024)]
 
 
 class StateTransferSection(Section, kw_only=True, frozen=True):
-    """State transfer is off without this section.
+    """The settings of state transfer; without this section, state transfer is off.
 
-    Relative paths begin at the operators' file's own folder. The file has the names of
-    docs/learning-oncall.md; where an attribute has another, `msgspec.field(name=...)` maps it.
+    Relative paths begin at the folder of the operators' file. The file uses the setting names of
+    docs/learning-oncall.md; `msgspec.field(name=...)` maps them to attributes with other names.
 
     Attributes:
-        listen: address at which it is a source, with a listener of its own; None: it only receives.
-        sources: addresses that it asks; its own may be among them.
-        source_names: names in the certificates of sources that it believes.
-        receiver_names: names in the certificates of receivers that it serves.
-        plain: without TLS; on loopback addresses only.
-        patience: seconds that a start waits for sources before it serves; what comes later is merged.
-        max_attempts: at all sources together.
-        max_receivers: that a source serves at the same time.
-        receivers_per_second: new receivers that a source serves.
-        bytes_per_second: that a source sends to all receivers.
-        snapshot_folder: where snapshots are kept; None: nowhere.
-        snapshot_interval: seconds between two snapshots.
-        max_snapshot_age: seconds after which a snapshot is not used.
-        half_life_healthy: this and the next in seconds, see `weighting.HalfLives`.
+        listen: Address at which the instance listens as a source; None if the instance is only a receiver.
+        sources: Addresses of the sources to ask; the instance's own address may be among them.
+        source_names: Accepted names in the certificates of sources.
+        receiver_names: Accepted names in the certificates of receivers.
+        plain: Whether connections have no TLS; allowed on loopback addresses only.
+        patience: Maximum seconds for which a starting instance waits for sources before it serves clients.
+            Items that arrive later are merged while it serves.
+        max_attempts: Maximum number of attempts at all sources together.
+        max_receivers: Maximum number of receivers that a source serves at the same time.
+        receivers_per_second: Maximum rate of new receivers that a source serves.
+        bytes_per_second: Maximum rate at which a source sends to all receivers together.
+        snapshot_folder: Folder of the snapshots; None to write no snapshots.
+        snapshot_interval: Seconds between two snapshots.
+        max_snapshot_age: Seconds after which a snapshot is not used.
+        half_life_healthy: Half-life in seconds, like the following settings; see `weighting.HalfLives`.
     """
 
     section: ClassVar[str] = "learning"
@@ -70,7 +72,7 @@
 
     @property
     def half_lives(self) -> HalfLives:
-        """The half-lives together."""
+        """The half-lives of all kinds of items."""
         return HalfLives(
             healthy_endpoint=self.half_life_healthy,
             failing_endpoint=self.half_life_failing,
@@ -81,11 +83,11 @@
         )
 
     def check(self) -> Iterator[tuple[str, str]]:
-        """Yields what is wrong, by the field's name in the file."""
+        """Yields the errors as pairs of the setting's name in the file and the reason."""
         yield from self.check_addresses("listen", [self.listen] if self.listen else [])
         yield from self.check_addresses("donors", self.sources)
         if len(set(self.sources)) < len(self.sources):
-            yield "donors", "names one twice"
+            yield "donors", "contains an address twice"
         if not self.plain and self.sources and not self.source_names:
             yield "may_teach", "names in the donors' certificates are needed"
         if not self.plain and self.listen and not self.receiver_names:
@@ -96,12 +98,15 @@
             yield "half_life_well", f"good news ages faster than bad: at most {self.half_life_failing:g}"
 
     def check_addresses(self, name: str, addresses: list[str]) -> Iterator[tuple[str, str]]:
-        """Yields which of a field's addresses are none, or need TLS."""
-        for each in addresses:
+        """Yields errors for the addresses of a setting that are invalid, or not allowed without TLS."""
+        for text in addresses:
             try:
-                host, _ = address(each, name)
+                host, _ = address(text, name)
             except ConfigurationError as error:
                 yield name, error.reason
                 continue
             if self.plain and not ip_address(host).is_loopback:
-                yield "plain", f"{each} is no loopback address: only there a link goes without TLS"
+                yield (
+                    "plain",
+                    f"{text} is not a loopback address; connections without TLS are allowed only on loopback",
+                )
--- a/gatebank/state_transfer/session.py
+++ b/gatebank/state_transfer/session.py
@@ -1,7 +1,7 @@
-"""State transfer in service: owns the listener, the connections, the background tasks and the snapshots.
+"""State transfer of one instance: owns the listener, the connections, the background tasks and the snapshots.
 
-Whatever the other side of a connection does costs that connection alone: each has limits for its handshake,
-its silence and its whole time, and what comes is checked before it is merged.
+A misbehaving peer affects only its own connection: each connection has time limits for its handshake, for
+silence and for the whole transfer, and received items are checked before they are merged.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 if TYPE_CHECKING:
     from gatebank.state_transfer.peer_keys import PeerKeys
 
-# Seconds after the start at which the merged state is applied again: endpoints that the endpoint list names
-# only later would go without it.
+# Seconds after the start at which the merged state is applied again, so that endpoints that appear in the
+# endpoint list only later get their inherited state too.
 REAPPLY_AT = (0.25, 1.0, 3.0)
 
 
 class StateTransfer:
-    """Both sides of state transfer, for one instance.
+    """Both sides of state transfer, source and receiver, for one instance.
 
-    `listen` and `begin` start it, `finish` writes the last snapshot of an orderly shutdown, and `close` gives
-    back all that was opened.
+    `listen` and `begin` start state transfer, `finish` writes the last snapshot of an orderly shutdown, and
+    `close` releases all resources.
     """
 
     def __init__(
@@ -43,17 +43,17 @@
         dispatcher: Dispatcher,
         name: str,
     ) -> None:
-        """Reads the keys; opens no socket yet.
+        """Reads the keys without opening a socket.
 
         Args:
-            section: the operators' settings.
-            keys_section: where the keys are; needed unless connections are plain.
-            folder: where relative paths of the operators' file begin.
-            dispatcher: owner of the balancer.
-            name: of this instance.
+            section: Settings of state transfer.
+            keys_section: Settings of the keys; required unless connections are plain.
+            folder: Folder at which relative paths of the operators' file begin.
+            dispatcher: Owner of the balancer.
+            name: Name of this instance.
 
         Raises:
-            ConfigurationError: keys are missing, or can't be used.
+            ConfigurationError: The keys are missing or cannot be used.
         """
         self.tasks = BackgroundTasks()
         self.state = LocalState(dispatcher, name, section.half_lives)
@@ -70,11 +70,14 @@
             )
 
     def listen(self) -> None:
-        """Opens the listener; raises ConfigurationError if it can't be."""
+        """Opens the listener; raises ConfigurationError if the address cannot be used."""
         self.source.listen()
 
     async def begin(self) -> None:
-        """Restores the last snapshot and receives what comes within ``patience``; the rest goes on beside."""
+        """Restores the last snapshot, and waits for sources for at most ``patience`` seconds.
+
+        Transfers that take longer continue in the background.
+        """
         if self.snapshots:
             self.snapshots.restore()
         self.source.begin()
@@ -88,13 +91,13 @@
         self.state.merge()
 
     async def reapply(self) -> None:
-        """Merges again as the endpoint list becomes complete."""
+        """Applies the merged state again at the times of REAPPLY_AT, for endpoints listed later."""
         for seconds in REAPPLY_AT:
             await asyncio.sleep(max(0.0, self.state.started_at + seconds - self.state.clock()))
             self.state.merge()
 
     def reload_keys(self) -> None:
-        """Looks for new keys at once."""
+        """Loads changed keys immediately instead of at the next periodic check."""
         if self.keys:
             self.keys.reload()
 
@@ -104,12 +107,12 @@
             await self.snapshots.finish()
 
     def close(self) -> None:
-        """Closes the listener and cancels all tasks, with which connections end."""
+        """Closes the listener and cancels all tasks; each task closes its connection."""
         self.source.close()
         self.tasks.cancel()
 
     def standing(self) -> dict[str, int | str]:
-        """Returns the counters of the log's `standing` line, by their names there."""
+        """Returns the counters for the `standing` log line, by their log keys."""
         return {
             "learnt": self.state.received,
             "donations": self.receiver.completed,
@@ -120,23 +123,23 @@
 
 
 def needs_keys(section: StateTransferSection) -> bool:
-    """Returns whether connections are made, and with TLS."""
+    """Returns whether the section has connections with TLS."""
     return not section.plain and bool(section.listen or section.sources)
 
 
 def load_keys(
     section: StateTransferSection, keys_section: KeysSection | None, folder: Path
 ) -> PeerKeys | None:
-    """Returns the keys of connections, None if there are none to make or they are plain.
+    """Returns the keys for TLS connections; None if there are no connections or they are plain.
 
     Raises:
-        ConfigurationError: keys are missing, or can't be used.
+        ConfigurationError: The keys are missing or cannot be used.
     """
     if not needs_keys(section):
         return None
     if keys_section is None:
         raise ConfigurationError("learning: a section keys(...) is needed, or plain = True on loopback")
-    # `cryptography` takes 10 MB, which an instance with plain connections does without.
+    # Imported here because `cryptography` takes 10 MB of memory, which plain connections do not need.
     from gatebank.state_transfer.peer_keys import PeerKeys
 
     return PeerKeys(keys_section, folder)
--- a/gatebank/state_transfer/snapshot.py
+++ b/gatebank/state_transfer/snapshot.py
@@ -1,9 +1,9 @@
-"""Snapshots: what an instance knows, on its disk, in two files that are written in turn.
+"""Snapshots: an instance's items on its disk, in two files that are written alternately.
 
-A file is a head (magic, length, checksum) and a body in msgpack. It is written under another name, synced and
-renamed, so that one of the two is always whole. Its age is by this machine's own clock: within one boot by
-the time since boot, else by Unix time. Only a snapshot that was written at shutdown holds the whole last
-exposure window.
+A file consists of a header (magic, length, checksum) and a body in msgpack. A file is written under a
+temporary name, synced and renamed, so that one of the two files is always complete. The age of a snapshot is
+computed from this machine's clock: from the time since boot if the machine has not rebooted, otherwise from
+Unix time. Only a snapshot that was written at shutdown holds the whole last exposure window.
 """
 
 from __future__ import annotations
@@ -31,19 +31,21 @@
     encode_part,
 )
 
-HEADER = struct.Struct("<8sII")  # magic, bytes of the body, checksum of the body
+# Magic, size of the body in bytes, checksum of the body.
+HEADER = struct.Struct("<8sII")
 MAGIC = b"gbknown\x01"
 FILE_NAMES = ("known-0", "known-1")
-MAX_FILE_BYTES = 64 << 20  # ten thousand endpoints take 2 MB
+# Maximum size of a file: 10,000 endpoints take 2 MB.
+MAX_FILE_BYTES = 64 << 20
 PRIVATE_MODE = 0o600
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
 class SnapshotError(GatebankError):
-    """A snapshot is not used.
+    """A snapshot cannot be used.
 
     Attributes:
-        reason: why not.
+        reason: Why the snapshot cannot be used.
     """
 
     def __init__(self, reason: str) -> None:
@@ -52,13 +54,18 @@
 
 
 class BootTime(NamedTuple):
-    """A moment by the time since boot, sleep included; ``boot_id`` is empty where the system gives none."""
+    """A point in time on the clock that counts from the machine's boot, including suspended time.
+
+    Attributes:
+        boot_id: Id of the boot; empty if the system does not provide the id.
+        seconds: Seconds since the boot.
+    """
 
     boot_id: str = ""
     seconds: float = 0.0
 
     def is_same_boot(self, other: BootTime) -> bool:
-        """Returns whether the times of both can be compared."""
+        """Returns whether both times belong to the same boot, and can be compared."""
         return bool(self.boot_id) and self.boot_id == other.boot_id
 
 
@@ -66,7 +73,7 @@
 
 
 class SnapshotOrigin(NamedTuple):
-    """Whose snapshot it is: the first values of `Snapshot`, explained there."""
+    """The instance that wrote a snapshot; the fields are those of `Snapshot` with the same names."""
 
     deployment: str
     name: str
@@ -74,16 +81,18 @@
 
 
 class Snapshot(msgspec.Struct, kw_only=True):
-    """The body of a file.
+    """The body of a snapshot file.
 
     Attributes:
-        version: of the items' form.
-        deployment: see `protocol.deployment_id`.
-        name: of the instance.
-        at: Unix time at which it was taken.
-        boot_id, since_boot: see `BootTime`.
-        at_shutdown: nothing was sent after it.
-        part: the items, see `items.Part`.
+        version: Version of the items' stored form.
+        deployment: Id of the deployment, see `protocol.deployment_id`.
+        name: Name of the instance.
+        incarnation: Random number of the instance's start.
+        at: Unix time of the snapshot.
+        boot_id: Id of the boot in which the snapshot was taken, see `BootTime`.
+        since_boot: Seconds since that boot, see `BootTime`.
+        at_shutdown: Whether the snapshot was taken at shutdown, after which no attempt was sent.
+        part: The encoded items, see `items.Part`.
     """
 
     version: Annotated[int, Meta(ge=0, le=1_000_000)] = field(default=FORMAT_VERSION, name="form")
@@ -98,18 +107,18 @@
 
     @property
     def boot_time(self) -> BootTime:
-        """When it was taken, by the time since boot."""
+        """Time of the snapshot on the clock that counts from boot."""
         return BootTime(self.boot_id, self.since_boot)
 
 
 @dataclass(slots=True, frozen=True)
 class LoadedSnapshot:
-    """A snapshot that can be used.
+    """A snapshot that was read and can be used.
 
     Attributes:
-        header: the snapshot's own values.
-        items: as old as they are now.
-        slot: which of `FILE_NAMES` it was read from.
+        header: The snapshot's own fields.
+        items: The items, with their ages at the time of reading.
+        slot: Index in `FILE_NAMES` of the file.
     """
 
     header: Snapshot
@@ -118,7 +127,7 @@
 
 
 def boot_time() -> BootTime:
-    """Returns the present time since boot."""
+    """Returns the current time since boot."""
     try:
         boot_id = BOOT_ID.read_text().strip()
     except OSError:
@@ -133,7 +142,15 @@
     at_shutdown: bool,
     boot: BootTime = NO_BOOT_TIME,
 ) -> bytes:
-    """Returns the bytes of a file; the arguments are explained at `Snapshot`."""
+    """Returns the contents of a snapshot file.
+
+    Args:
+        items: The items to store.
+        origin: The instance that writes the snapshot.
+        at: Unix time of the snapshot.
+        at_shutdown: Whether the snapshot is taken at shutdown.
+        boot: Time of the snapshot on the clock that counts from boot.
+    """
     snapshot = Snapshot(
         deployment=origin.deployment,
         name=origin.name,
@@ -149,69 +166,72 @@
 
 
 def decode_header(data: bytes) -> Snapshot:
-    """Returns the values of a file of any deployment and age; its items are not looked at.
+    """Returns the fields of a snapshot of any deployment and age, without decoding its items.
+
+    Args:
+        data: Contents of the file.
 
     Raises:
-        SnapshotError: it is incomplete, changed or no snapshot.
+        SnapshotError: The file is truncated, corrupted or not a snapshot.
     """
     if len(data) < HEADER.size:
-        raise SnapshotError("torn: shorter than its head")
+        raise SnapshotError("truncated: shorter than the header")
     magic, size, checksum = HEADER.unpack_from(data)
     body = data[HEADER.size :]
     if magic != MAGIC:
-        raise SnapshotError("no snapshot of this program")
+        raise SnapshotError("not a snapshot of this program")
     if len(body) != size or crc32(body) != checksum:
-        raise SnapshotError("torn or changed: its checksum is another")
+        raise SnapshotError("truncated or corrupted: checksum mismatch")
     try:
         return msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.DecodeError as error:
-        raise SnapshotError(f"it can't be read: {error}") from None
+        raise SnapshotError(f"cannot be decoded: {error}") from None
 
 
 def decode_snapshot(
     data: bytes, deployment: str, now: float, max_age: float, boot: BootTime = NO_BOOT_TIME
 ) -> LoadedSnapshot:
-    """Returns a snapshot with its items, as old as they are now.
+    """Returns a snapshot with its items, which have their current ages.
 
     Args:
-        data: the bytes of a file.
-        deployment: the only one whose snapshots are used.
-        now: Unix time.
-        max_age: seconds.
-        boot: the present time since boot.
+        data: Contents of the file.
+        deployment: Id of the deployment; snapshots of other deployments are refused.
+        now: Current Unix time.
+        max_age: Maximum age of the snapshot in seconds.
+        boot: Current time since boot.
 
     Raises:
-        SnapshotError: it is not to be used.
+        SnapshotError: The snapshot cannot be used.
     """
     header = decode_header(data)
     if header.version not in READABLE_VERSIONS:
-        raise SnapshotError(f"its form {header.version} is none of {READABLE_VERSIONS}")
+        raise SnapshotError(f"snapshot has form {header.version}; readable forms are {READABLE_VERSIONS}")
     if header.deployment != deployment:
-        raise SnapshotError(f"of another deployment ({header.deployment})")
+        raise SnapshotError(f"snapshot belongs to another deployment ({header.deployment})")
     age = now - header.at
     if boot.is_same_boot(header.boot_time):
         age = boot.seconds - header.since_boot
     if age < 0:
-        raise SnapshotError(f"of {-age:.1f} s in the future: the clock was set back")
+        raise SnapshotError(f"taken {-age:.1f} s in the future: the clock was set back")
     if age > max_age:
-        raise SnapshotError(f"{age:.0f} s old; at most {max_age:.0f} are used")
+        raise SnapshotError(f"{age:.0f} s old; the maximum is {max_age:.0f} s")
     try:
         items = [item.older(age) for item in decode_part(header.part)]
     except (msgspec.DecodeError, InvalidItemError) as error:
-        raise SnapshotError(f"it can't be read: {error}") from None
+        raise SnapshotError(f"cannot be decoded: {error}") from None
     return LoadedSnapshot(header, items)
 
 
 def write_snapshot(folder: Path, turn: int, data: bytes) -> None:
-    """Replaces one of the two files and leaves the other as it was.
+    """Replaces one of the two files, and leaves the other unchanged.
 
     Args:
-        folder: of both files.
-        turn: counts the snapshots; even ones go into the first file.
-        data: the bytes of the file.
+        folder: Folder of both files.
+        turn: Number of the snapshot; snapshots with even numbers are written to the first file.
+        data: New contents of the file.
 
     Raises:
-        OSError: it can't be written; both files are as they were.
+        OSError: The file cannot be written; both files are unchanged.
     """
     path = folder / FILE_NAMES[turn % 2]
     temporary = folder / f"{FILE_NAMES[turn % 2]}.new"
@@ -234,10 +254,17 @@
 def load_newest(
     folder: Path, deployment: str, now: float, max_age: float, boot: BootTime = NO_BOOT_TIME
 ) -> LoadedSnapshot:
-    """Returns the younger of the two files that can be used; arguments as of `decode_snapshot`.
+    """Returns the newer usable snapshot of the two files.
+
+    Args:
+        folder: Folder of both files.
+        deployment: Id of the deployment; snapshots of other deployments are refused.
+        now: Current Unix time.
+        max_age: Maximum age of the snapshot in seconds.
+        boot: Current time since boot.
 
     Raises:
-        SnapshotError: there is none; the text has the reason for each file.
+        SnapshotError: Neither file can be used; the text has the reason for each file.
     """
     loaded: list[LoadedSnapshot] = []
     reasons: list[str] = []
@@ -255,5 +282,5 @@
             continue
         loaded.append(LoadedSnapshot(snapshot.header, snapshot.items, slot))
     if not loaded:
-        raise SnapshotError("; ".join(reasons) or "none is there")
-    return max(loaded, key=lambda each: each.header.at)
+        raise SnapshotError("; ".join(reasons) or "no snapshot found")
+    return max(loaded, key=lambda candidate: candidate.header.at)
--- a/gatebank/state_transfer/snapshot_store.py
+++ b/gatebank/state_transfer/snapshot_store.py
@@ -1,4 +1,4 @@
-"""Snapshots in service: read once at the start, written from time to time and at shutdown."""
+"""Restores a snapshot at the start, and writes snapshots periodically and at shutdown."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     """The snapshots of this instance in one folder."""
 
     def __init__(self, folder: Path, interval: float, max_age: float, state: LocalState) -> None:
-        """Touches no file yet.
+        """Prepares the store without accessing files.
 
         Args:
-            folder: made if it is not there.
-            interval: seconds between two snapshots.
-            max_age: seconds after which a snapshot is not used.
-            state: what is written, and gets what is read.
+            folder: Folder of the snapshots; created if missing.
+            interval: Seconds between two snapshots.
+            max_age: Seconds after which a snapshot is not used.
+            state: Exports the items to write, and stores the items that are read.
         """
         self.folder = folder
         self.interval = interval
@@ -33,11 +33,12 @@
         self.turn = 0
         self.last_error = ""
         self.shutting_down = False
-        # One is written at a time, and none after the one of the shutdown.
+        # Held while a snapshot is written, so that snapshots are written one at a time, and none after the
+        # snapshot of the shutdown.
         self.writing = asyncio.Lock()
 
     def restore(self) -> None:
-        """Merges the newest snapshot like the state of any source; without one the start goes on."""
+        """Merges the newest snapshot like the state of a source; logs the reason if no snapshot is usable."""
         boot = snapshot.boot_time()
         try:
             self.folder.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
@@ -47,34 +48,34 @@
             return
         header = loaded.header
         self.turn = loaded.slot + 1
-        # Whether an attempt still lies in the exposure window takes an exact age: one of this boot, by a
-        # clock that nobody sets.
+        # Exact ages are needed to tell whether an attempt is still in the exposure window. Ages are exact
+        # only within one boot, by the clock that counts from boot, because Unix time can be set.
         exact = boot.is_same_boot(header.boot_time)
-        own = header.name == self.state.name
-        self.state.inherited.window_known = header.at_shutdown and own and exact
+        is_own = header.name == self.state.name
+        self.state.inherited.window_known = header.at_shutdown and is_own and exact
         new_items = self.state.receive(loaded.items)
         say("snapshot", items=new_items, age=time.time() - header.at, closed=header.at_shutdown)
         self.state.merge()
 
     async def write_regularly(self) -> None:
-        """Writes snapshots until it is cancelled."""
+        """Writes snapshots periodically until the task is cancelled."""
         while True:
             await asyncio.sleep(self.interval)
             await self.write(at_shutdown=False)
 
     async def finish(self) -> None:
-        """Writes the last snapshot, with the whole last exposure window."""
+        """Writes the last snapshot at shutdown, with the whole last exposure window."""
         self.shutting_down = True
         await self.write(at_shutdown=True)
 
     async def write(self, at_shutdown: bool) -> None:
-        """Writes a snapshot, in a thread: the event loop never waits for a disk."""
+        """Writes a snapshot; a thread writes the file, so that the event loop never waits for the disk."""
         async with self.writing:
             if self.shutting_down and not at_shutdown:
                 return
             state = self.state
             items = await state.items(include_window=True)
-            # A window that is cut short can't be relied on: it is written as if none were known.
+            # A truncated window is not reliable: the snapshot is marked as if it was not taken at shutdown.
             complete = at_shutdown and state.window_fits()
             data = snapshot.encode_snapshot(
                 items,
--- a/gatebank/state_transfer/source.py
+++ b/gatebank/state_transfer/source.py
@@ -1,4 +1,4 @@
-"""The source in service: a listener of its own, and connections of receivers within the source's limits."""
+"""The source: has a listener of its own, and serves receivers within the source's limits."""
 
 from __future__ import annotations
 
@@ -32,22 +32,34 @@
 if TYPE_CHECKING:
     from gatebank.state_transfer.peer_keys import PeerKeys
 
-LISTEN_BACKLOG = 64  # connections that the system holds for the listener
-# Seconds after an accept failed, as it does where the process has no descriptors left.
+# Maximum number of connections that the system queues for the listener.
+LISTEN_BACKLOG = 64
+# Pause in seconds after a failed accept, which occurs for example if the process has no descriptors left.
 ACCEPT_PAUSE = 0.05
-# Tasks, of which all but a few have a connection, are so many for each receiver that is served, and so many
-# more. A handshake takes a core for a millisecond: connections beyond these are closed at once.
+# The maximum number of tasks is TASKS_PER_RECEIVER for each receiver that may be served, plus EXTRA_TASKS.
+# Almost every task has a connection. Connections beyond the maximum are closed at once, because a handshake
+# takes a core for a millisecond.
 TASKS_PER_RECEIVER = 8
 EXTRA_TASKS = 64
 
 
 class StateSource:
-    """Serves receivers. Whatever one does, its connection ends in a bounded time and costs no other."""
+    """Sends this instance's state to receivers.
+
+    Every connection ends within a bounded time, and a misbehaving receiver does not affect other receivers.
+    """
 
     def __init__(
         self, section: StateTransferSection, state: LocalState, keys: PeerKeys | None, tasks: BackgroundTasks
     ) -> None:
-        """Does not listen yet; the arguments are those of `receiver.StateReceiver`."""
+        """Prepares the source without opening the listener.
+
+        Args:
+            section: Address to listen at, names of receivers and limits.
+            state: Exports the items.
+            keys: TLS keys; None for plain connections.
+            tasks: Runs the listener and the connections.
+        """
         self.listen_address = section.listen
         self.receiver_names = section.receiver_names
         self.state = state
@@ -62,35 +74,35 @@
         self.frames_at = float("-inf")
 
     def listen(self) -> None:
-        """Opens the listener, if the section has an address for it.
+        """Opens the listener if the section has an address to listen at.
 
         Raises:
-            ConfigurationError: the address can't be listened at.
+            ConfigurationError: The address cannot be used.
         """
         if not self.listen_address:
             return
-        where = address(self.listen_address, "learning: listen")
-        self.listener = opened(where)
+        listen_address = address(self.listen_address, "learning: listen")
+        self.listener = opened(listen_address)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            self.listener.bind(where)
+            self.listener.bind(listen_address)
         except OSError as error:
             reason = f"learning: listen {self.listen_address}: {error.strerror}"
             raise ConfigurationError(reason) from error
         self.listener.listen(LISTEN_BACKLOG)
 
     def begin(self) -> None:
-        """Starts accepting, if there is a listener."""
+        """Starts accepting connections if there is a listener."""
         if self.listener:
             self.tasks.start(self.accept(self.listener))
 
     def close(self) -> None:
-        """Closes the listener; connections end with their tasks."""
+        """Closes the listener; connections are closed as their tasks end."""
         if self.listener:
             self.listener.close()
 
     async def accept(self, listener: socket.socket) -> None:
-        """Accepts connections until it is cancelled."""
+        """Accepts connections until the task is cancelled."""
         while True:
             try:
                 sock, _ = await self.loop.sock_accept(listener)
@@ -105,7 +117,7 @@
             self.tasks.start(self.serve(sock))
 
     async def serve(self, sock: socket.socket) -> None:
-        """Serves one connection, and closes it."""
+        """Serves one connection, then closes the connection."""
         tls = self.keys.tls(is_server=True) if self.keys else None
         try:
             with contextlib.closing(Connection(sock, tls)) as connection:
@@ -118,7 +130,7 @@
             say("learner_failed", why=str(error) or type(error).__name__)
 
     async def answer(self, connection: Connection) -> None:
-        """Waits for what a receiver asks, and sends the state or refuses."""
+        """Waits for the receiver's request, and sends the state or a refusal."""
         conversation = Conversation(self.state.hello())
         ask = None
         while ask is None:
@@ -141,7 +153,7 @@
             self.limiter.release(completed)
 
     async def send_state(self, connection: Connection, conversation: Conversation, max_bytes: int) -> None:
-        """Sends hello, as many parts as the receiver takes, and the end, at the source's rate."""
+        """Sends the hello, at most ``max_bytes`` bytes of parts, and the end, at the limited rate."""
         sent_bytes = 0
         part_count = 0
         await connection.send(conversation.hello())
@@ -160,7 +172,7 @@
         say("taught", learner=peer.name if peer else "?", parts=part_count, bytes=sent_bytes)
 
     async def encoded_parts(self) -> list[bytes]:
-        """Returns the frames of all that is known, encoded in slices so that clients are served between."""
+        """Returns all items encoded as frames; the event loop can serve clients between the parts."""
         if self.loop.time() - self.frames_at < REUSE_TIME:
             return self.frames
         frames: list[bytes] = []
--- a/gatebank/state_transfer/source_limits.py
+++ b/gatebank/state_transfer/source_limits.py
@@ -1,8 +1,9 @@
-"""How many receivers a source serves, how fast, and when it refuses. No I/O: the time is an argument.
+"""Limits how many receivers a source serves and how fast, and decides refusals. No I/O: time is an argument.
 
-A source's clients come first: it serves so many receivers at once, so many new ones a second and so many
-bytes a second, and none while its own event loop runs late. A receiver that is refused is told when to come
-back, with jitter, so that forty that start together do not come back together.
+Clients have priority over receivers. A source therefore limits the number of receivers that it serves at the
+same time, the rate of new receivers and the bytes per second, and refuses all receivers while its event loop
+runs late. A refusal holds the time after which to ask again, with jitter, so that receivers that started
+together, for example forty, do not ask again together.
 """
 
 from __future__ import annotations
@@ -10,24 +11,24 @@
 from dataclasses import dataclass
 from random import Random
 
-# Seconds that the event loop lately ran late, beyond which the process has no time to give.
+# Lag of the event loop in seconds from which receivers are refused, because the process is overloaded.
 MAX_LOOP_LAG = 0.05
-# Seconds that the shortest wait of a refused receiver has, before jitter.
+# Shortest retry delay of a refused receiver in seconds, before jitter.
 MIN_RETRY_AFTER = 0.1
-# Jitter: a wait is multiplied by a number drawn evenly from here.
+# Range of the uniformly distributed jitter factor of a retry delay.
 JITTER = (0.5, 1.5)
-# Factor by which the count of waiting receivers fades in a second.
+# Factor by which the count of waiting receivers decays per second.
 WAITING_DECAY = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class SourceLimits:
-    """What a source gives.
+    """The limits of one source.
 
     Attributes:
-        max_receivers: served at the same time.
-        receivers_per_second: new ones, on average; as many may come at once.
-        bytes_per_second: to all of them together.
+        max_receivers: Maximum number of receivers that are served at the same time.
+        receivers_per_second: Maximum average rate of new receivers, and the maximum burst.
+        bytes_per_second: Maximum rate of bytes to all receivers together.
     """
 
     max_receivers: int = 4
@@ -46,8 +47,8 @@
     (None, False)
 
     Attributes:
-        completed: transfers that were sent whole.
-        refused: receivers that were told to come back.
+        completed: Number of transfers that were sent completely.
+        refused: Number of refusals.
     """
 
     def __init__(self, limits: SourceLimits, seed: int) -> None:
@@ -56,21 +57,24 @@
         self.active = 0
         self.completed = 0
         self.refused = 0
-        # A token bucket of new receivers.
+        # Token bucket that limits the rate of new receivers.
         self.tokens = limits.receivers_per_second
         self.tokens_at = 0.0
-        # Receivers that were refused lately, and so are waiting.
+        # Decaying count of refusals: an estimate of the number of receivers that wait to ask again.
         self.waiting = 0.0
         self.waiting_at = 0.0
-        # When the bytes that were let through so far have had their time.
+        # Time at which the rate limit permits the next bytes.
         self.bytes_free_at = 0.0
 
     def admit(self, now: float, loop_lag: float) -> float | None:
-        """Returns None if a receiver is served now, else seconds until it may come back.
+        """Admits a receiver or refuses it.
 
         Args:
-            now: seconds of any steady clock.
-            loop_lag: seconds that this process lately came late to its events.
+            now: Time in seconds on any monotonic clock.
+            loop_lag: Recent lag of the event loop in seconds.
+
+        Returns:
+            None if the receiver is admitted; otherwise the seconds after which it may ask again.
         """
         limits = self.limits
         refill = (now - self.tokens_at) * limits.receivers_per_second
@@ -81,19 +85,19 @@
             self.active += 1
             return None
         self.refused += 1
-        # Each of those that wait comes back when it may be its turn.
+        # The delay grows with the number of waiting receivers, because they are admitted at a limited rate.
         self.waiting = self.waiting * WAITING_DECAY ** (now - self.waiting_at) + 1.0
         self.waiting_at = now
-        wait = MIN_RETRY_AFTER + self.waiting / limits.receivers_per_second
-        return wait * self.random.uniform(*JITTER)
+        delay = MIN_RETRY_AFTER + self.waiting / limits.receivers_per_second
+        return delay * self.random.uniform(*JITTER)
 
     def send_delay(self, now: float, size: int) -> float:
-        """Counts bytes that are about to be sent, and returns the seconds to wait before."""
+        """Counts ``size`` bytes against the rate limit; returns the seconds to wait before sending them."""
         delay = max(0.0, self.bytes_free_at - now)
         self.bytes_free_at = max(now, self.bytes_free_at) + size / self.limits.bytes_per_second
         return delay
 
     def release(self, completed: bool = True) -> None:
-        """Ends the transfer to an admitted receiver."""
+        """Frees the place of an admitted receiver; ``completed`` says whether its transfer was completed."""
         self.active -= 1
         self.completed += completed
--- a/gatebank/state_transfer/source_selection.py
+++ b/gatebank/state_transfer/source_selection.py
@@ -1,9 +1,10 @@
-"""Which sources a receiver asks, when, and when it stops. No I/O: events in, connections to make out.
+"""Decides which sources a receiver asks, when, and when it stops. No I/O: events in, connections out.
 
-Sources are ranked by rendezvous hashing of receiver and source, so that many receivers that start at once
-spread over the fleet. The first two are asked at once, the next as one fails. A busy source says when to come
-back. All attempts together have a budget, and after ``patience`` seconds the instance serves without waiting
-any longer: what comes later is merged while it serves.
+Sources are ranked by rendezvous hashing of receiver and source, so that the requests of many receivers that
+start at the same time are spread over the fleet. The first two sources are asked at once; if an attempt
+fails, the next source is asked. A busy source sends the time after which to ask again. The total number of
+attempts is limited. After ``patience`` seconds the instance serves clients without waiting any longer; items
+that arrive later are merged while it serves.
 """
 
 from __future__ import annotations
@@ -13,18 +14,25 @@
 from hashlib import blake2b
 from random import Random
 
-# Sources asked at the same time: one may be slow, or have just started itself; more know the same.
+# Number of sources asked at the same time, and of required transfers. A single source may be slow or may have
+# just started itself; further sources have the same state.
 CONCURRENT_SOURCES = 2
-# Seconds before a source that failed is asked again, doubled for each attempt at it up to the longer.
+# Seconds before a failed source is asked again; doubled for each further attempt at the source, up to the
+# maximum.
 FIRST_BACKOFF = 0.1
 MAX_BACKOFF = 5.0
-# Jitter: a backoff is multiplied by a number drawn evenly from here.
+# Range of the uniformly distributed jitter factor of a backoff.
 JITTER = (0.5, 1.5)
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectToSource:
-    """The caller is to make a connection to a source, at this time of the caller's clock."""
+    """Instruction to the caller to connect to a source.
+
+    Attributes:
+        source: Address of the source.
+        at: Time of the connection on the caller's clock, in seconds.
+    """
 
     source: str
     at: float
@@ -32,13 +40,14 @@
 
 @dataclass(slots=True)
 class SourceProgress:
-    """What became of one source so far.
+    """The attempts at one source so far.
 
     Attributes:
-        attempts: made at it.
-        not_before: time of the caller's clock before which it is not asked again.
-        in_progress: an attempt runs.
-        done: no further attempt follows.
+        source: Address of the source.
+        attempts: Number of attempts at the source, including one in progress.
+        not_before: Time on the caller's clock before which the source is not asked again.
+        in_progress: Whether an attempt is in progress.
+        done: Whether no further attempt will be made.
     """
 
     source: str
@@ -49,9 +58,10 @@
 
 
 def ranked(receiver: str, sources: Sequence[str]) -> list[str]:
-    """Returns the sources in the order in which this receiver asks them.
+    """Returns the sources in the order in which the receiver asks them.
 
-    It is Thaler and Ravishankar's rendezvous hashing: a source that goes changes nobody else's order.
+    The order is that of Thaler and Ravishankar's rendezvous hashing: removing a source does not change the
+    order of the other sources.
 
     >>> order = ranked("m1", ["a", "b", "c", "d"])
     >>> [source for source in order if source != "b"] == ranked("m1", ["a", "c", "d"])
@@ -65,7 +75,7 @@
 
 
 class SourceSelector:
-    """Chooses sources until enough of them have sent their state, or the budget of attempts is spent."""
+    """Chooses sources until enough sources have sent their state, or the maximum of attempts is reached."""
 
     def __init__(
         self, receiver: str, sources: Sequence[str], patience: float, max_attempts: int, seed: int
@@ -73,11 +83,11 @@
         """Ranks the sources.
 
         Args:
-            receiver: name of this instance.
-            sources: addresses of the others.
-            patience: seconds that the instance waits with serving.
-            max_attempts: at all sources together.
-            seed: of the jitter.
+            receiver: Name of this instance.
+            sources: Addresses of the sources.
+            patience: Maximum seconds for which the instance waits before it serves.
+            max_attempts: Maximum number of attempts at all sources together.
+            seed: Seed of the jitter.
         """
         self.sources = {source: SourceProgress(source) for source in ranked(receiver, sources)}
         self.patience = patience
@@ -89,19 +99,24 @@
         self.attempts = 0
 
     def begin(self, now: float) -> list[ConnectToSource]:
-        """Starts the clock of ``patience``; returns the first connections."""
+        """Starts the time limit ``patience``, and returns the first connections."""
         self.started_at = now
         return self.next_connections(now)
 
     def next_connections(self, now: float) -> list[ConnectToSource]:
-        """Returns whom to ask now or later, as far as something is still wanted."""
+        """Returns the connections to make, so that enough transfers are complete or in progress."""
         connections: list[ConnectToSource] = []
         in_progress = sum(progress.in_progress for progress in self.sources.values())
         missing = self.required_transfers - self.received - in_progress
-        free = [each for each in self.sources.values() if not each.in_progress and not each.done]
-        # Those that were never asked come first, by rank; then those that may be asked again soonest.
-        free.sort(key=lambda progress: (progress.attempts, progress.not_before))
-        for progress in free[: max(0, missing)]:
+        available = [
+            candidate
+            for candidate in self.sources.values()
+            if not candidate.in_progress and not candidate.done
+        ]
+        # Sources with the fewest attempts come first, and among them those that may be asked again soonest.
+        # Sources that were never asked keep the order of their rank.
+        available.sort(key=lambda progress: (progress.attempts, progress.not_before))
+        for progress in available[: max(0, missing)]:
             if self.attempts >= self.max_attempts:
                 break
             progress.in_progress = True
@@ -111,18 +126,19 @@
         return connections
 
     def on_received(self, source: str, now: float) -> list[ConnectToSource]:
-        """The source sent all of its state; returns further connections."""
+        """Handles a complete transfer; returns the next connections."""
         self.end_attempts(source)
         self.received += 1
         return self.next_connections(now)
 
     def on_failed(self, source: str, now: float, retry_after: float | None = None) -> list[ConnectToSource]:
-        """The attempt failed or was refused; returns further connections.
+        """Handles an attempt that failed or was refused; returns the next connections.
 
         Args:
-            source: it is asked again after a backoff, and the next one in rank before.
-            now: the caller's clock.
-            retry_after: seconds that the source asked for.
+            source: The source, which is asked again after a backoff. Sources with fewer attempts are asked
+                before.
+            now: Time on the caller's clock.
+            retry_after: Seconds after which the source permits the next attempt, if it was refused.
         """
         progress = self.sources[source]
         progress.in_progress = False
@@ -132,18 +148,18 @@
         return self.next_connections(now)
 
     def on_invalid(self, source: str, now: float) -> list[ConnectToSource]:
-        """What it sent can't be used, or it is of another deployment: it is not asked again."""
+        """Handles a source that sent invalid data or belongs to another deployment: it is not asked again."""
         self.end_attempts(source)
         return self.next_connections(now)
 
     def end_attempts(self, source: str) -> None:
-        """Asks this source no more."""
+        """Marks a source as not to be asked again."""
         progress = self.sources[source]
         progress.in_progress = False
         progress.done = True
 
     def may_serve(self, now: float) -> bool:
-        """Returns whether the instance is to serve without waiting any longer."""
+        """Returns whether the instance may serve clients without waiting any longer."""
         in_progress = any(progress.in_progress for progress in self.sources.values())
         return (
             self.received >= self.required_transfers
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -1,7 +1,7 @@
-"""What a balancer knows, as items. No I/O.
+"""Exports the balancer's state as items. No I/O.
 
-What an instance inherited and has not yet seen for itself is passed on with its own age and origin, so that
-it grows old however often it is passed on.
+Inherited items that the instance's own observations have not replaced are exported too, with their origin and
+their growing age. Passing an item on therefore never makes it younger.
 """
 
 from __future__ import annotations
@@ -28,25 +28,31 @@
 )
 from gatebank.state_transfer.weighting import EndpointProcess
 
-MAX_WINDOW_ROWS = 4096  # attempts and requests in one export: a window of 2 s at 2,000 a second
-ENDPOINTS_PER_SLICE = 256  # endpoints exported in one turn of the event loop: about a millisecond
-MIN_OWN_RESULTS = 5  # of an endpoint, from which what was inherited of it is not passed on
-SLOW_START_MARGIN = 1.0  # seconds beyond the warm-up
-MIN_ATTEMPT_TIME = 0.1  # seconds, where usual times are shorter or not known
-MAX_RATE = 1e6  # attempts a second
+# Maximum number of attempts, and of requests, in one export: a window of 2 s at 2,000 per second.
+MAX_WINDOW_ROWS = 4096
+# Endpoints exported in one iteration of the event loop; a slice takes about a millisecond.
+ENDPOINTS_PER_SLICE = 256
+# Number of own results of an endpoint from which inherited health of that endpoint is not passed on.
+MIN_OWN_RESULTS = 5
+# Seconds after the end of its warm-up for which an endpoint still counts as being in slow start.
+SLOW_START_MARGIN = 1.0
+# Seconds that an attempt is assumed to take if usual latencies are shorter or unknown.
+MIN_ATTEMPT_TIME = 0.1
+# Upper limits of exported values. MAX_RATE is in attempts per second, MAX_RATIO limits latency ratios.
+MAX_RATE = 1e6
 MAX_RATIO = 1e4
 MAX_OUTCOMES = 10**9
 
 
 class StateExport:
-    """All that one instance knows at one moment, as items.
+    """Exports the state of one instance at one point in time.
 
     Args:
-        state: of the balancer.
-        names: of its indices.
-        origin: this instance.
-        now: the moment, in the balancer's seconds.
-        inherited: what it received and passes on.
+        state: The balancer's state.
+        names: Names of the balancer's indices.
+        origin: This instance.
+        now: Current time on the balancer's clock in seconds.
+        inherited: Received items, which are passed on.
     """
 
     def __init__(
@@ -64,9 +70,12 @@
         self.inherited = inherited
 
     def slices(self, *, include_window: bool = False) -> Iterator[list[StateItem]]:
-        """Yield the items, the most valuable first, in slices that each take a turn of the loop or less.
+        """Yields the items by descending priority, in slices that each take one event-loop iteration or less.
 
-        Time may pass between them. ``include_window``: also each attempt and request of the exposure window.
+        Time may pass between two slices.
+
+        Args:
+            include_window: Whether to include each attempt and request of the last exposure window.
         """
         endpoints = self.seen_endpoints()
         passed_on = self.passed_on(endpoints)
@@ -74,7 +83,7 @@
         yield [
             *self.release(),
             *self.slow_starts(),
-            *(self.health(name, each) for name, each in endpoints if each.ejected),
+            *(self.health(name, endpoint) for name, endpoint in endpoints if endpoint.ejected),
             *urgent,
             *self.test_sums(),
             *self.baseline_failures(),
@@ -84,13 +93,15 @@
             yield list(self.window())
         healthy = [row for row in endpoints if not row[1].ejected]
         for start in range(0, len(healthy), ENDPOINTS_PER_SLICE):
-            yield [self.health(name, each) for name, each in healthy[start : start + ENDPOINTS_PER_SLICE]]
+            yield [
+                self.health(name, endpoint) for name, endpoint in healthy[start : start + ENDPOINTS_PER_SLICE]
+            ]
         rest = [item for item in passed_on if not is_urgent(item)]
         for start in range(0, len(rest), ENDPOINTS_PER_SLICE):
             yield rest[start : start + ENDPOINTS_PER_SLICE]
 
     def seen_endpoints(self) -> list[tuple[str, EndpointState]]:
-        """Endpoints with results of this instance's own, by name."""
+        """Returns the endpoints of which this instance has results of its own, with their names."""
         rows = [
             (self.names.endpoints[index], endpoint)
             for index, endpoint in self.state.endpoints.by_index.items()
@@ -99,22 +110,22 @@
         return [(name, endpoint) for name, endpoint in rows if name]
 
     def passed_on(self, endpoints: list[tuple[str, EndpointState]]) -> list[StateItem]:
-        """What was inherited and not seen for oneself.
+        """Returns the inherited items that the instance's own observations have not replaced.
 
-        A former incarnation's single rows are of use to nobody but a later start of that name, from its own
-        snapshot.
+        Single attempts and requests of earlier incarnations are left out. They are of use only to a later
+        start of the same instance, which reads them from its own snapshot.
         """
-        seen = {name for name, endpoint in endpoints if endpoint.results >= MIN_OWN_RESULTS}
+        observed = {name for name, endpoint in endpoints if endpoint.results >= MIN_OWN_RESULTS}
         items = self.inherited.items(self.now) if self.inherited else []
         return [
             item
             for item in items
             if not isinstance(item, SentAttempt | AdmittedRequest)
-            and not (isinstance(item, EndpointHealth) and item.endpoint in seen)
+            and not (isinstance(item, EndpointHealth) and item.endpoint in observed)
         ]
 
     def release(self) -> Iterator[ReleaseReport]:
-        """The release service's status, as told to this instance."""
+        """Yields the release service's status that this instance received, if complete."""
         status = self.state.release
         if status is None or status.build is None or status.stage is None or status.phase is None:
             return
@@ -130,7 +141,10 @@
         )
 
     def slow_starts(self) -> Iterator[SlowStartRate]:
-        """What this instance sends endpoints that warm up: its attempts over the time that they take."""
+        """Yields the rate of this instance's attempts at each endpoint in slow start.
+
+        The rate is the number of outstanding attempts divided by the time that an attempt takes.
+        """
         limit = self.state.settings.slow_start.warm_up + SLOW_START_MARGIN
         counts: dict[EndpointProcess, int] = {}
         for attempt in self.state.outstanding.values():
@@ -152,7 +166,7 @@
             )
 
     def health(self, name: str, endpoint: EndpointState) -> EndpointHealth:
-        """One endpoint."""
+        """Returns the health item of one endpoint."""
         return EndpointHealth(
             origin=self.origin.name,
             incarnation=self.origin.incarnation,
@@ -168,7 +182,7 @@
         )
 
     def baseline_failures(self) -> Iterator[BaselineFailures]:
-        """How often the baseline fails, by statistic."""
+        """Yields how often the baseline fails, by statistic."""
         for statistic, (bad, total, recent_rate) in enumerate(self.state.baseline_errors):
             if total:
                 yield BaselineFailures(
@@ -183,7 +197,7 @@
                 )
 
     def latencies(self) -> Iterator[UsualLatency]:
-        """Usual times, by request class, and the baseline's by machine kind too."""
+        """Yields usual latencies by request class, and the baseline's also by machine kind."""
         for request_class, estimate in enumerate(self.state.latencies.by_class):
             if estimate.samples:
                 yield self.latency(request_class, "", estimate)
@@ -191,7 +205,7 @@
             yield self.latency(request_class, self.names.machine_kind(kind), estimate)
 
     def latency(self, request_class: int, machine_kind: str, estimate: LatencyEstimate) -> UsualLatency:
-        """One usual time."""
+        """Returns the item of one usual latency."""
         return UsualLatency(
             origin=self.origin.name,
             incarnation=self.origin.incarnation,
@@ -203,13 +217,13 @@
         )
 
     def window(self) -> Iterator[SentAttempt | AdmittedRequest]:
-        """Single attempts at each build, and requests accepted, of the last exposure window."""
-        since = self.now - self.state.settings.release.exposure_window
+        """Yields each attempt and each admitted request of the last exposure window."""
+        window_start = self.now - self.state.settings.release.exposure_window
         sent = [
             (at, request_class, build)
             for build, rows in self.state.traffic.sent.items()
             for at, request_class in rows
-            if at >= since
+            if at >= window_start
         ]
         for at, request_class, build in sorted(sent)[-MAX_WINDOW_ROWS:]:
             yield SentAttempt(
@@ -220,7 +234,7 @@
                 build=build,
                 request_class=self.names.request_classes[request_class],
             )
-        accepted = [row for row in self.state.traffic.accepted if row[0] >= since]
+        accepted = [row for row in self.state.traffic.accepted if row[0] >= window_start]
         for at, request_class in accepted[-MAX_WINDOW_ROWS:]:
             yield AdmittedRequest(
                 origin=self.origin.name,
@@ -231,11 +245,11 @@
             )
 
     def test_sums(self) -> Iterator[SequentialTestSums]:
-        """The design's sums of the test at hand: this instance's own, and what it heard of others."""
+        """Yields the sums of the current sequential test: the instance's own and those of peers."""
         test = self.state.test
         if test is None:
             return
-        own = {statistic: each for statistic, each in enumerate(test.sums.own) if each.outcomes}
+        own = {statistic: llr_sum for statistic, llr_sum in enumerate(test.sums.own) if llr_sum.outcomes}
         instance = self.state.settings.instance
         rows = {PeerIncarnation(instance, self.state.incarnation): own, **test.sums.by_peer}
         for (peer, incarnation), sums in rows.items():
@@ -248,7 +262,7 @@
                     origin=self.origin.name,
                     incarnation=incarnation,
                     age=0.0,
-                    outcomes=max(each.outcomes for each in ratios.values()),
+                    outcomes=max(ratio.outcomes for ratio in ratios.values()),
                     build=test.build,
                     stage=test.sums.stage,
                     instance=peer,
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -1,9 +1,10 @@
-"""What a receiver believes of the items that it was sent. No I/O: items with ages in, merged state out.
+"""Weights and merges received items. No I/O: items with ages in, merged state out.
 
-An item weighs 2^(-age / half-life) times outcomes / (outcomes + the outcomes of half weight). The items that
-several sources sent of one thing are merged by weight, and count for less where they disagree. Good reports
-of an endpoint age faster than bad ones: an outlier taken for healthy costs clients' requests, a healthy
-endpoint taken for an outlier costs health checks. docs/learning.md has the whole table.
+The weight of an item is 2^(-age / half-life) * outcomes / (outcomes + HALF_WEIGHT_OUTCOMES of its kind).
+Items with the same subject from several sources are merged by weight, and count for less if they disagree.
+Good reports of an endpoint lose weight faster than bad reports, because an outlier that is taken for healthy
+costs clients' requests, while a healthy endpoint that is taken for an outlier costs only health checks.
+docs/learning.md has the complete table.
 """
 
 from __future__ import annotations
@@ -27,28 +28,29 @@
     newest,
 )
 
-# Outcomes from which an item counts for half, by its kind; other kinds count in full. The balancer itself
-# judges an endpoint by about 5 outcomes, and a request class's latency or failures by about 10.
+# Number of outcomes with which an item has half of its full weight, by kind; other kinds always have their
+# full weight. The balancer itself judges an endpoint by about 5 outcomes, and a request class's latency or
+# failures by about 10.
 HALF_WEIGHT_OUTCOMES: dict[type[Item], int] = {
     EndpointHealth: 5,
     UsualLatency: 10,
     BaselineFailures: 10,
 }
-# Below this weight an item is not used: 0.02 of an endpoint's failure rate changes no choice.
+# Items with a lower weight are not used: 0.02 of an endpoint's failure rate changes no routing decision.
 MIN_WEIGHT = 0.02
-# Difference of two sources' failure rates of an endpoint beyond which they disagree.
+# Sources disagree about an endpoint if its failure rates in their reports differ by more than this.
 MAX_AGREEING_DIFFERENCE = 0.25
-# Factor on what is merged of an endpoint on which sources disagree.
+# Factor on the weight of an endpoint's merged reports if the sources disagree.
 DISAGREEMENT_FACTOR = 0.5
-# A latency that is so many times higher or lower than that of most outcomes is left out.
+# A latency report is ignored if it differs by more than this factor from the report with most outcomes.
 LATENCY_OUTLIER_FACTOR = 3.0
-# Seconds: nothing older is used, whatever its half-life; an hour-old view of a fleet is of another fleet.
+# Maximum age of an item in seconds, whatever its half-life: after an hour the fleet has changed.
 MAX_AGE = 3600.0
-# Failure rate from which a report of an endpoint counts as a bad one, and ages as such.
+# Failure rate from which a report of an endpoint counts as bad and has the half-life of bad reports.
 MIN_FAILING_RATE = 0.2
-# Outcomes of a good report after which it lifts an older ejection that another source reported.
+# Minimum outcomes of a good report that cancels an older ejection reported by another source.
 MIN_RECOVERY_OUTCOMES = 5
-# Exposure windows after which a slow-start rate says nothing: by then the attempts it counted have ended.
+# Exposure windows after which a slow-start rate is ignored, because the counted attempts have ended by then.
 SLOW_START_WINDOWS = 2
 ROLLED_BACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 OPEN_PHASES = (Phase.CANARY, Phase.RELEASED)
@@ -56,17 +58,21 @@
 
 @dataclass(slots=True, frozen=True)
 class HalfLives:
-    """Seconds after which an item counts for half; the operators' file may set them.
+    """Half-lives of the weights of items, in seconds; the operators' file may set them.
 
     Attributes:
-        healthy_endpoint: of good reports of an endpoint. `benchmarks/lives.py` finds the least square error
-            at 4 to 8 s; the shorter, since a wrong good report costs clients' requests.
-        failing_endpoint: of bad reports of an endpoint. The same benchmark finds 8 to 16 s; the longer, since
-            a wrong bad report costs two health checks and no requests.
-        latency_ratio: of an endpoint's latencies. Between both: the same troubles, with equal costs.
-        usual_latency: as the balancer's own table fades, not measured: moves with builds and load.
-        baseline_failures: as the balancer's own table fades, not measured: some minutes of outcomes.
-        test_sums: not measured: a stage of a canary lasts seconds to minutes.
+        healthy_endpoint: Of good reports of an endpoint. The square error in `benchmarks/lives.py` is
+            smallest at 4 to 8 s; the lower end is used, because a wrong good report costs clients' requests.
+        failing_endpoint: Of bad reports of an endpoint. The square error in the same benchmark is smallest at
+            8 to 16 s; the upper end is used, because a wrong bad report costs two health checks and no
+            requests.
+        latency_ratio: Of an endpoint's latency ratios. Between the two above: the faults are the same, and
+            errors in both directions cost the same.
+        usual_latency: Of usual latencies, which change with builds and load. Matches the decay of the
+            balancer's own table.
+        baseline_failures: Of the baseline's failures, which cover some minutes of outcomes. Matches the decay
+            of the balancer's own table.
+        test_sums: Of sums of a sequential test: a stage of a canary lasts seconds to minutes.
     """
 
     healthy_endpoint: float = 4.0
@@ -78,7 +84,13 @@
 
 
 class EndpointProcess(NamedTuple):
-    """Which process runs at an endpoint; `started` is Unix time, None if it is not known."""
+    """The process that runs at an endpoint.
+
+    Attributes:
+        name: Name of the endpoint.
+        build: Build that the process runs.
+        started: Unix time of the process's start; None if unknown.
+    """
 
     name: str
     build: int
@@ -87,15 +99,15 @@
 
 @dataclass(slots=True)
 class MergedEndpoint:
-    """What is believed of an endpoint.
+    """The merged reports of one endpoint.
 
     Attributes:
-        latency_ratio: its latencies over the usual ones.
-        failure_rate: fraction of failed attempts, already weighted.
-        weight: from 0 to 1, what the reports of it weigh together.
-        ejected: it needs successful health checks before it is used.
-        ejection_time: seconds of the longest reported ejection.
-        slow_start_rate: attempts a second that other instances send to it while it warms up.
+        latency_ratio: The endpoint's latencies divided by the usual latencies.
+        failure_rate: Fraction of failed attempts, already multiplied by the weight.
+        weight: Total weight of the reports, from 0 to 1.
+        ejected: Whether the endpoint needs successful health checks before it is used.
+        ejection_time: Duration of the longest reported ejection in seconds.
+        slow_start_rate: Attempts per second that other instances send to the endpoint during its slow start.
     """
 
     latency_ratio: float = 1.0
@@ -107,7 +119,7 @@
 
 
 class MergedBaseline(NamedTuple):
-    """How often the baseline build fails by one ratio, already weighted; see `items.BaselineFailures`."""
+    """How often the baseline build fails by one statistic, already weighted; see `items.BaselineFailures`."""
 
     weighted_failures: float
     weighted_total: float
@@ -115,14 +127,14 @@
 
 
 class LatencyKey(NamedTuple):
-    """Of what a usual latency is; the machine kind is empty where it is of all endpoints."""
+    """The subject of a usual latency; the machine kind is empty if the latency is that of all endpoints."""
 
     request_class: str
     machine_kind: str
 
 
 class MergedLatency(NamedTuple):
-    """A usual latency in seconds, and for how many outcomes it counts."""
+    """A merged usual latency in seconds, and the number of outcomes as which it counts."""
 
     latency: float
     outcomes: int
@@ -130,12 +142,17 @@
 
 @dataclass(slots=True)
 class MergedState:
-    """What is believed of everything, by names; `inherited_knowledge.py` brings it to the balancer's numbers.
+    """All merged items, by names; `inherited_knowledge.py` converts the names to the balancer's indices.
 
     Attributes:
-        release: the strictest status; see `strictly_tighter` for when it is used.
-        sent, admitted: of earlier starts under this instance's own name, within the exposure window.
-        window_known: those two are complete, from a snapshot that was written at shutdown.
+        endpoints: Merged reports by endpoint name.
+        sums: Sums of sequential tests.
+        baseline: Failures of the baseline build by name of the statistic.
+        latencies: Usual latencies.
+        release: The newest release report; `strictly_tighter` decides whether it is used.
+        sent: Attempts of this instance's earlier starts within the exposure window.
+        admitted: Requests that this instance's earlier starts admitted within the exposure window.
+        window_known: Whether `sent` and `admitted` are complete, from a snapshot written at shutdown.
     """
 
     endpoints: dict[str, MergedEndpoint] = field(default_factory=dict)
@@ -150,14 +167,14 @@
 
 @dataclass(slots=True)
 class ReportsBySubject:
-    """Items that are merged, by what they are of."""
+    """Items of the kinds that are merged, by subject."""
 
     health: dict[str, list[EndpointHealth]] = field(default_factory=dict)
     latencies: dict[LatencyKey, list[UsualLatency]] = field(default_factory=dict)
     baseline: dict[str, list[BaselineFailures]] = field(default_factory=dict)
 
     def add(self, item: StateItem) -> bool:
-        """Returns whether the item is of a kind that is merged; if it is, it has been added."""
+        """Adds an item if its kind is merged; returns whether the item was added."""
         match item:
             case EndpointHealth():
                 self.health.setdefault(item.endpoint, []).append(item)
@@ -172,7 +189,7 @@
 
 
 def weight(item: StateItem, half_life: float) -> float:
-    """Returns what an item weighs, from 0 to 1.
+    """Returns the weight of an item, from 0 to 1.
 
     >>> latency = UsualLatency(origin="m", age=256.0, outcomes=10, request_class="r", latency=1.0)
     >>> round(weight(latency, half_life=256.0), 3)
@@ -180,11 +197,11 @@
     """
     if item.age > MAX_AGE:
         return 0.0
-    by_age: float = 0.5 ** (item.age / half_life)
+    age_weight: float = 0.5 ** (item.age / half_life)
     half_weight = HALF_WEIGHT_OUTCOMES.get(type(item), 0)
     if not half_weight:
-        return by_age
-    return by_age * (item.outcomes / (item.outcomes + half_weight))
+        return age_weight
+    return age_weight * (item.outcomes / (item.outcomes + half_weight))
 
 
 def merge_items(
@@ -194,15 +211,15 @@
     window: float,
     half_lives: HalfLives,
 ) -> MergedState:
-    """Returns what is to be believed of items from any sources.
+    """Merges items from any sources.
 
     Args:
-        items: of any kinds and ages; of equal subject and origin the youngest is used.
-        processes: what runs at each endpoint now, by the receiver's own endpoint list. Reports of another
-            process under the same name are dropped.
-        name: the receiver's own name.
-        window: seconds of the exposure window.
-        half_lives: of each kind.
+        items: Items of any kinds and ages; of several items with equal identity, the youngest is used.
+        processes: The process at each endpoint according to the receiver's own endpoint list. Reports of
+            another process with the same endpoint name are dropped.
+        name: The receiver's own name.
+        window: Duration of the exposure window in seconds.
+        half_lives: Half-lives of the kinds of items.
     """
     merged = MergedState()
     reports = ReportsBySubject()
@@ -225,11 +242,12 @@
 def add_unmerged(
     merged: MergedState, item: StateItem, name: str, window: float, half_lives: HalfLives
 ) -> None:
-    """Adds an item of a kind that is used as it is, if it is young enough and of use to this instance."""
+    """Adds an item of a kind that is not merged, if the item is recent enough and useful to this instance."""
     match item:
         case SlowStartRate() if item.origin != name and item.age < SLOW_START_WINDOWS * window:
-            belief = merged.endpoints.setdefault(item.endpoint, MergedEndpoint())
-            belief.slow_start_rate += item.rate  # each sender's own, so the endpoint gets their sum
+            endpoint = merged.endpoints.setdefault(item.endpoint, MergedEndpoint())
+            # Each instance reports its own rate, so the endpoint receives the sum of the rates.
+            endpoint.slow_start_rate += item.rate
         case SequentialTestSums() if weight(item, half_lives.test_sums) >= MIN_WEIGHT:
             merged.sums.append(item)
         case ReleaseReport() if item.age <= MAX_AGE:
@@ -241,102 +259,113 @@
 
 
 def is_running(item: EndpointHealth | SlowStartRate, processes: Mapping[str, EndpointProcess]) -> bool:
-    """Returns whether the item is of the process that runs at its endpoint now."""
+    """Returns whether the item is about the process that currently runs at its endpoint."""
     process = processes.get(item.endpoint)
     return process is not None and process.build == item.build and process.started == item.started
 
 
 def is_bad(report: EndpointHealth) -> bool:
-    """Returns whether a report of an endpoint is a bad one, which ages more slowly than a good one."""
+    """Returns whether a report of an endpoint is bad; bad reports lose weight more slowly than good ones."""
     return report.ejected or report.failure_rate >= MIN_FAILING_RATE
 
 
 def health_half_life(report: EndpointHealth, half_lives: HalfLives) -> float:
-    """Returns the half-life of a report's failure rate, in seconds."""
+    """Returns the half-life of a report's failure rate in seconds."""
     return half_lives.failing_endpoint if is_bad(report) else half_lives.healthy_endpoint
 
 
-def merge_health(belief: MergedEndpoint, reports: list[EndpointHealth], half_lives: HalfLives) -> None:
-    """Merges the reports of one endpoint into a belief of it."""
+def merge_health(endpoint: MergedEndpoint, reports: list[EndpointHealth], half_lives: HalfLives) -> None:
+    """Merges the reports of one endpoint into ``endpoint``."""
     weighted = [(report, weight(report, health_half_life(report, half_lives))) for report in reports]
     good = [row for row in weighted if not is_bad(row[0])]
     bad = [row for row in weighted if is_bad(row[0])]
-    total = sum(share for _, share in good + bad)
+    total = sum(item_weight for _, item_weight in good + bad)
     if total < MIN_WEIGHT:
         return
     rates = [report.failure_rate for report in reports]
-    belief.weight = min(1.0, total)
+    endpoint.weight = min(1.0, total)
     if max(rates) - min(rates) > MAX_AGREEING_DIFFERENCE:
-        belief.weight *= DISAGREEMENT_FACTOR
-    belief.failure_rate = sum(report.failure_rate * share for report, share in good + bad) / total
-    belief.failure_rate *= belief.weight
+        endpoint.weight *= DISAGREEMENT_FACTOR
+    endpoint.failure_rate = (
+        sum(report.failure_rate * item_weight for report, item_weight in good + bad) / total
+    )
+    endpoint.failure_rate *= endpoint.weight
     if bad:
-        worst = max(report.failure_rate * share for report, share in bad)
-        belief.failure_rate = max(belief.failure_rate, worst)
-    belief.latency_ratio = merge_latency_ratios(reports, half_lives.latency_ratio)
-    merge_ejections(belief, good, bad)
+        worst = max(report.failure_rate * item_weight for report, item_weight in bad)
+        endpoint.failure_rate = max(endpoint.failure_rate, worst)
+    endpoint.latency_ratio = merge_latency_ratios(reports, half_lives.latency_ratio)
+    merge_ejections(endpoint, good, bad)
 
 
 def merge_latency_ratios(reports: list[EndpointHealth], half_life: float) -> float:
-    """Returns the weighted mean of latency ratios, drawn towards 1 where the reports weigh little."""
+    """Returns the weighted mean of latency ratios, shrunk towards 1 if the reports have little weight."""
     weighted = [(report.latency_ratio, weight(report, half_life)) for report in reports]
-    total = sum(share for _, share in weighted)
+    total = sum(item_weight for _, item_weight in weighted)
     if total < MIN_WEIGHT:
         return 1.0
-    mean = sum(ratio * share for ratio, share in weighted) / total
+    mean = sum(ratio * item_weight for ratio, item_weight in weighted) / total
     return 1.0 + (mean - 1.0) * min(1.0, total)
 
 
 def merge_ejections(
-    belief: MergedEndpoint,
+    endpoint: MergedEndpoint,
     good: list[tuple[EndpointHealth, float]],
     bad: list[tuple[EndpointHealth, float]],
 ) -> None:
-    """An endpoint that any source has ejected lately is ejected, unless another saw it well since.
+    """Sets an endpoint as ejected if any source recently ejected it, unless a younger report is good.
 
     Args:
-        belief: gets the result.
-        good: good reports with their weights.
-        bad: bad reports with their weights.
+        endpoint: Merged endpoint that receives the result.
+        good: Good reports with their weights.
+        bad: Bad reports with their weights.
     """
-    ejections = [report for report, share in bad if report.ejected and share >= MIN_WEIGHT]
+    ejections = [report for report, item_weight in bad if report.ejected and item_weight >= MIN_WEIGHT]
     latest = min((report.age for report in ejections), default=0.0)
     recovered = any(report.age < latest and report.outcomes >= MIN_RECOVERY_OUTCOMES for report, _ in good)
-    belief.ejected = bool(ejections) and not recovered
-    belief.ejection_time = max((report.ejection_time for report in ejections), default=0.0)
+    endpoint.ejected = bool(ejections) and not recovered
+    endpoint.ejection_time = max((report.ejection_time for report in ejections), default=0.0)
 
 
 def merge_latencies(reports: list[UsualLatency], half_life: float) -> MergedLatency | None:
-    """Returns the mean by weight and outcomes, without reports far off that of most weighted outcomes.
+    """Returns the mean latency, weighted by weight and outcomes, without outlying reports.
 
-    Agreement adds no outcomes: the mean counts for as many as the best report has, at most.
+    A report is outlying if its latency is far from the latency of the report with most weighted outcomes.
+    Agreeing reports do not add up: the mean counts at most for the outcomes of the report with most outcomes.
     """
     weighted = [(report, weight(report, half_life)) for report in reports]
-    weighted = [(report, share) for report, share in weighted if share >= MIN_WEIGHT and report.latency > 0]
+    weighted = [
+        (report, item_weight)
+        for report, item_weight in weighted
+        if item_weight >= MIN_WEIGHT and report.latency > 0
+    ]
     if not weighted:
         return None
     leading, _ = max(weighted, key=lambda row: row[0].outcomes * row[1])
     lowest = leading.latency / LATENCY_OUTLIER_FACTOR
     highest = leading.latency * LATENCY_OUTLIER_FACTOR
-    weighted = [(report, share) for report, share in weighted if lowest <= report.latency <= highest]
-    total = sum(share * report.outcomes for report, share in weighted)
+    weighted = [
+        (report, item_weight) for report, item_weight in weighted if lowest <= report.latency <= highest
+    ]
+    total = sum(item_weight * report.outcomes for report, item_weight in weighted)
     if not total:
         return None
-    mean = sum(report.latency * share * report.outcomes for report, share in weighted) / total
+    mean = sum(report.latency * item_weight * report.outcomes for report, item_weight in weighted) / total
     return MergedLatency(mean, int(min(total, max(report.outcomes for report, _ in weighted))))
 
 
 def best_baseline(reports: list[BaselineFailures], half_life: float) -> MergedBaseline | None:
-    """Returns the report of most weighted outcomes alone: sources saw much of the same minutes."""
+    """Returns only the report with most weighted outcomes, because the sources observed the same minutes."""
     weighted = [(report, weight(report, half_life)) for report in reports]
-    best, share = max(weighted, key=lambda row: row[1] * row[0].weighted_total)
-    if share < MIN_WEIGHT:
+    best, item_weight = max(weighted, key=lambda row: row[1] * row[0].weighted_total)
+    if item_weight < MIN_WEIGHT:
         return None
-    return MergedBaseline(best.weighted_failures * share, best.weighted_total * share, best.recent_rate)
+    return MergedBaseline(
+        best.weighted_failures * item_weight, best.weighted_total * item_weight, best.recent_rate
+    )
 
 
 def newer_release(earlier: ReleaseReport | None, other: ReleaseReport) -> ReleaseReport:
-    """Returns the report of the newer build; of one build the younger report.
+    """Returns the report of the newer build, or the younger report if both are of the same build.
 
     >>> young = ReleaseReport(origin="m", age=1.0, build=4, stage=0, phase=0, cap=0.3)
     >>> old = ReleaseReport(origin="m", age=9.0, build=4, stage=0, phase=0, cap=0.9)
@@ -351,7 +380,7 @@
 
 
 class OwnRelease(NamedTuple):
-    """What the release service has told this instance itself."""
+    """The release status that this instance received from the release service itself."""
 
     build: int
     phase: int
@@ -359,10 +388,10 @@
 
 
 def strictly_tighter(report: ReleaseReport | None, own: OwnRelease | None) -> ReleaseReport | None:
-    """Returns a report only where it allows less than what this instance knows itself.
+    """Returns the report if it allows less than this instance's own release status, otherwise None.
 
-    Until the release service itself has answered, a newer build counts as in its first stage anyway (rule 5
-    of docs/design.md); so what is used is a rollback or a lower cap of the same build.
+    Until the release service has answered, this instance treats a newer build as in its first stage anyway
+    (rule 5 of docs/design.md). Therefore only a rollback, or a lower cap of the same build, is used.
 
     >>> back = ReleaseReport(origin="m", age=1.0, build=4, stage=1, phase=1, cap=0.0)
     >>> on = ReleaseReport(origin="m", age=1.0, build=4, stage=2, phase=0, cap=0.6)
