--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -176,7 +176,7 @@
 
 def measure_size(endpoints: int) -> None:
     """Pack and read the state of so many endpoints."""
-    balancer, _ = make_balancer(nodes=endpoints)
+    balancer, _ = make_balancer(endpoint_count=endpoints)
     for node in balancer.state.endpoints.by_index.values():
         node.results = 40
         node.last_result_at = START_TIME
