--- a/gatebank/state_transfer/protocol.py
+++ b/gatebank/state_transfer/protocol.py
@@ -2,8 +2,8 @@
 
 A frame consists of a length of four bytes (big-endian; the number of bytes that follow), a kind of one byte
 and a body in msgpack. Each side sends a hello. The receiver sends a request. The source replies either with
-parts, by descending priority, and an end, or with a refusal that holds the time of the next attempt. Every
-part can be decoded without the others, so the parts that arrived before a lost connection can be used.
+parts, by descending priority, and an end, or with a refusal that holds the delay until the next attempt.
+Each part can be decoded without the others, so the parts that arrived before a lost connection can be used.
 
 >>> source = Conversation(Hello(name="s", deployment="x", incarnation=1))
 >>> receiver = Conversation(Hello(name="r", deployment="x", incarnation=2))
