--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -31,7 +31,7 @@
         self.tls = tls
         self.buffer = bytearray(RECEIVE_BYTES)
         # Decrypted bytes that arrived together with the last bytes of the handshake.
-        self.early_data = b""
+        self.leftover_data = b""
 
     @classmethod
     def for_address(cls, address: Address, tls: TlsStream | None) -> Connection:
@@ -79,7 +79,7 @@
             size = await self.loop.sock_recv_into(self.sock, self.buffer)
             if not size:
                 raise ConnectionError("connection closed during the TLS handshake")
-            self.early_data = self.tls.feed(memoryview(self.buffer)[:size])
+            self.leftover_data = self.tls.feed(memoryview(self.buffer)[:size])
 
     async def send(self, data: bytes) -> None:
         """Sends all bytes of ``data``."""
@@ -90,9 +90,9 @@
 
     async def read(self) -> bytes:
         """Returns received bytes, decrypted; empty once the peer has closed the connection."""
-        if self.early_data:
-            data = self.early_data
-            self.early_data = b""
+        if self.leftover_data:
+            data = self.leftover_data
+            self.leftover_data = b""
             return data
         while True:
             size = await self.loop.sock_recv_into(self.sock, self.buffer)
