--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -84,13 +84,7 @@
 
 
 class EndpointProcess(NamedTuple):
-    """The process that runs at an endpoint.
-
-    Attributes:
-        name: Name of the endpoint.
-        build: Build that the process runs.
-        started: Unix time of the process's start; None if unknown.
-    """
+    """The process at the endpoint ``name``; ``started`` is its start in Unix time, None if unknown."""
 
     name: str
     build: int
@@ -134,7 +128,7 @@
 
 
 class MergedLatency(NamedTuple):
-    """A merged usual latency in seconds, and the number of outcomes as which it counts."""
+    """A merged usual latency in seconds, and the number of outcomes that the latency stands for."""
 
     latency: float
     outcomes: int
@@ -279,19 +273,17 @@
     weighted = [(report, weight(report, health_half_life(report, half_lives))) for report in reports]
     good = [row for row in weighted if not is_bad(row[0])]
     bad = [row for row in weighted if is_bad(row[0])]
-    total = sum(item_weight for _, item_weight in good + bad)
+    total = sum(factor for _, factor in good + bad)
     if total < MIN_WEIGHT:
         return
     rates = [report.failure_rate for report in reports]
     endpoint.weight = min(1.0, total)
     if max(rates) - min(rates) > MAX_AGREEING_DIFFERENCE:
         endpoint.weight *= DISAGREEMENT_FACTOR
-    endpoint.failure_rate = (
-        sum(report.failure_rate * item_weight for report, item_weight in good + bad) / total
-    )
+    endpoint.failure_rate = sum(report.failure_rate * factor for report, factor in good + bad) / total
     endpoint.failure_rate *= endpoint.weight
     if bad:
-        worst = max(report.failure_rate * item_weight for report, item_weight in bad)
+        worst = max(report.failure_rate * factor for report, factor in bad)
         endpoint.failure_rate = max(endpoint.failure_rate, worst)
     endpoint.latency_ratio = merge_latency_ratios(reports, half_lives.latency_ratio)
     merge_ejections(endpoint, good, bad)
@@ -300,10 +292,10 @@
 def merge_latency_ratios(reports: list[EndpointHealth], half_life: float) -> float:
     """Returns the weighted mean of latency ratios, shrunk towards 1 if the reports have little weight."""
     weighted = [(report.latency_ratio, weight(report, half_life)) for report in reports]
-    total = sum(item_weight for _, item_weight in weighted)
+    total = sum(factor for _, factor in weighted)
     if total < MIN_WEIGHT:
         return 1.0
-    mean = sum(ratio * item_weight for ratio, item_weight in weighted) / total
+    mean = sum(ratio * factor for ratio, factor in weighted) / total
     return 1.0 + (mean - 1.0) * min(1.0, total)
 
 
@@ -319,7 +311,7 @@
         good: Good reports with their weights.
         bad: Bad reports with their weights.
     """
-    ejections = [report for report, item_weight in bad if report.ejected and item_weight >= MIN_WEIGHT]
+    ejections = [report for report, factor in bad if report.ejected and factor >= MIN_WEIGHT]
     latest = min((report.age for report in ejections), default=0.0)
     recovered = any(report.age < latest and report.outcomes >= MIN_RECOVERY_OUTCOMES for report, _ in good)
     endpoint.ejected = bool(ejections) and not recovered
@@ -334,34 +326,28 @@
     """
     weighted = [(report, weight(report, half_life)) for report in reports]
     weighted = [
-        (report, item_weight)
-        for report, item_weight in weighted
-        if item_weight >= MIN_WEIGHT and report.latency > 0
+        (report, factor) for report, factor in weighted if factor >= MIN_WEIGHT and report.latency > 0
     ]
     if not weighted:
         return None
     leading, _ = max(weighted, key=lambda row: row[0].outcomes * row[1])
     lowest = leading.latency / LATENCY_OUTLIER_FACTOR
     highest = leading.latency * LATENCY_OUTLIER_FACTOR
-    weighted = [
-        (report, item_weight) for report, item_weight in weighted if lowest <= report.latency <= highest
-    ]
-    total = sum(item_weight * report.outcomes for report, item_weight in weighted)
+    weighted = [(report, factor) for report, factor in weighted if lowest <= report.latency <= highest]
+    total = sum(factor * report.outcomes for report, factor in weighted)
     if not total:
         return None
-    mean = sum(report.latency * item_weight * report.outcomes for report, item_weight in weighted) / total
+    mean = sum(report.latency * factor * report.outcomes for report, factor in weighted) / total
     return MergedLatency(mean, int(min(total, max(report.outcomes for report, _ in weighted))))
 
 
 def best_baseline(reports: list[BaselineFailures], half_life: float) -> MergedBaseline | None:
     """Returns only the report with most weighted outcomes, because the sources observed the same minutes."""
     weighted = [(report, weight(report, half_life)) for report in reports]
-    best, item_weight = max(weighted, key=lambda row: row[1] * row[0].weighted_total)
-    if item_weight < MIN_WEIGHT:
+    best, factor = max(weighted, key=lambda row: row[1] * row[0].weighted_total)
+    if factor < MIN_WEIGHT:
         return None
-    return MergedBaseline(
-        best.weighted_failures * item_weight, best.weighted_total * item_weight, best.recent_rate
-    )
+    return MergedBaseline(best.weighted_failures * factor, best.weighted_total * factor, best.recent_rate)
 
 
 def newer_release(earlier: ReleaseReport | None, other: ReleaseReport) -> ReleaseReport:
