--- a/gatebank/state_transfer/background_tasks.py
+++ b/gatebank/state_transfer/background_tasks.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 
 
 class BackgroundTasks:
@@ -33,7 +33,7 @@
         """Removes an ended task, and logs its exception, which is a bug: tasks handle expected errors."""
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            say("learning_fault", logging.ERROR, why=repr(error))
+            log_kv("learning_fault", logging.ERROR, why=repr(error))
 
     def cancel(self) -> None:
         """Cancels all tasks; the tasks end in the next iterations of the event loop."""
--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -7,7 +7,7 @@
 
 from gatebank.keys.tls_stream import TlsStream
 from gatebank.proxy.configuration import Address
-from gatebank.proxy.sockets import opened
+from gatebank.proxy.sockets import open_socket
 
 # Size of the receive buffer of a read: large enough for one part.
 RECEIVE_BYTES = 64 * 1024
@@ -36,7 +36,7 @@
     @classmethod
     def for_address(cls, address: Address, tls: TlsStream | None) -> Connection:
         """Returns an unconnected connection of the address's family; call `connect` next."""
-        return cls(opened(address), tls)
+        return cls(open_socket(address), tls)
 
     async def connect(self, address: Address, seconds: float = CONNECT_TIMEOUT) -> None:
         """Connects to an address and performs the TLS handshake.
--- a/gatebank/state_transfer/receiver.py
+++ b/gatebank/state_transfer/receiver.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from gatebank.proxy.configuration import address
-from gatebank.proxy.log import say
+from gatebank.proxy.configuration import parse_address
+from gatebank.proxy.log import log_kv
 from gatebank.state_transfer.background_tasks import BackgroundTasks
 from gatebank.state_transfer.connection import Connection
 from gatebank.state_transfer.items import InvalidItemError
@@ -95,7 +95,7 @@
             async with asyncio.timeout(self.patience):
                 await self.may_serve.wait()
         except TimeoutError:
-            say("learning_late", logging.WARNING, waited=self.patience)
+            log_kv("learning_late", logging.WARNING, waited=self.patience)
 
     def connect(self, connections: list[ConnectToSource]) -> None:
         """Starts the attempts that the selector chose."""
@@ -124,17 +124,17 @@
         """Handles the result of a transfer that did not fail: complete, or refused by the source."""
         now = self.loop.time()
         if result.retry_after is not None:
-            say("donor_busy", donor=source, back_in=result.retry_after)
+            log_kv("donor_busy", donor=source, back_in=result.retry_after)
             self.connect(self.selector.on_failed(source, now, result.retry_after))
             return
         self.completed += 1
-        say("learnt", donor=source, items=result.new_items)
+        log_kv("learnt", donor=source, items=result.new_items)
         self.connect(self.selector.on_received(source, now))
 
     def log_failure(self, source: str, reason: str) -> None:
         """Counts and logs a failed attempt."""
         self.failed += 1
-        say("donor_failed", logging.WARNING, donor=source, why=reason)
+        log_kv("donor_failed", logging.WARNING, donor=source, why=reason)
 
     async def transfer(self, source: str) -> TransferResult:
         """Receives a source's state; each part is merged as it arrives, even if the transfer fails later.
@@ -145,7 +145,7 @@
             InvalidItemError: The source sent invalid items. The source must not be asked again.
             OSError: The transfer failed. TimeoutError and ssl.SSLError are subclasses.
         """
-        source_address = address(source, "donor")
+        source_address = parse_address(source, "donor")
         tls = self.keys.tls(is_server=False) if self.keys else None
         new_items = 0
         with contextlib.closing(Connection.for_address(source_address, tls)) as connection:
--- a/gatebank/state_transfer/section.py
+++ b/gatebank/state_transfer/section.py
@@ -10,7 +10,7 @@
 from msgspec import field
 
 from gatebank.operator_config.sections import Section
-from gatebank.proxy.configuration import ConfigurationError, address
+from gatebank.proxy.configuration import ConfigurationError, parse_address
 from gatebank.state_transfer.weighting import HalfLives
 
 # Seconds, up to one day.
@@ -101,7 +101,7 @@
         """Yields errors for the addresses of a setting that are invalid, or not allowed without TLS."""
         for text in addresses:
             try:
-                host, _ = address(text, name)
+                host, _ = parse_address(text, name)
             except ConfigurationError as error:
                 yield name, error.reason
                 continue
--- a/gatebank/state_transfer/session.py
+++ b/gatebank/state_transfer/session.py
@@ -111,7 +111,7 @@
         self.source.close()
         self.tasks.cancel()
 
-    def standing(self) -> dict[str, int | str]:
+    def status_counts(self) -> dict[str, int | str]:
         """Returns the counters for the `standing` log line, by their log keys."""
         return {
             "learnt": self.state.received,
