--- a/gatebank/proxy/__init__.py
+++ b/gatebank/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The service: one marshal on sockets round the decision module. Parts and owners: docs/service.md."""
+"""The service: one instance, which connects the balancer to the network. Components: docs/service.md."""
--- a/gatebank/proxy/dispatcher.py
+++ b/gatebank/proxy/dispatcher.py
@@ -184,13 +184,13 @@
             self.requests.settle(request)
 
     def fail_request(self, request: RequestInFlight) -> None:
-        """Answer a request with an error without a decision of the balancer, and drop it there."""
+        """Answer a request with an error, without a decision of the balancer, and drop the request."""
         if not request.answered:
             request.reply.fail("broken off")
             self.drop_request(request, "abandoned")
 
     def drop_request(self, request: RequestInFlight, disposition: str) -> None:
-        """End a request that needs no further answer, although the balancer did not decide so."""
+        """End a request for a reason other than a decision of the balancer, and notify the balancer."""
         self.count(disposition)
         self.mark_answered(request, disposition)
         self.dispatch(self.balancer.on_client_disconnect, request.number)
@@ -201,7 +201,7 @@
         self.requests.settle(request)
 
     def mark_answered(self, request: RequestInFlight, disposition: str) -> None:
-        """Record that the final answer is decided, and log it at debug level."""
+        """Record that the final answer is decided, and log the request's disposition at debug level."""
         self.requests.mark_answered(request)
         if LOG.isEnabledFor(logging.DEBUG):
             log_kv(
--- a/gatebank/proxy/requests.py
+++ b/gatebank/proxy/requests.py
@@ -25,14 +25,7 @@
     """
 
     __slots__ = (
-        "answered",
-        "attempts",
-        "client_request",
-        "deadline",
-        "number",
-        "reply",
-        "size",
-        "timer",
+        "answered", "attempts", "client_request", "deadline", "number", "reply", "size", "timer",
         "undelivered_results",
     )  # fmt: skip
 
