--- a/gatebank/composition.py
+++ b/gatebank/composition.py
@@ -92,7 +92,7 @@
             transfer = session.StateTransfer(section, keys_section, operators.folder, dispatcher, name)
             transfer.listen()
         except ConfigurationError as error:
-            raise error.at(str(operators.path)) from error
+            raise error.with_path(str(operators.path)) from error
         return transfer
 
     return make
--- a/gatebank/proxy/configuration.py
+++ b/gatebank/proxy/configuration.py
@@ -42,7 +42,7 @@
         self.field = field
         self.path = path
 
-    def at(self, path: str) -> ConfigurationError:
+    def with_path(self, path: str) -> ConfigurationError:
         """Return the same error with the path of the file in which it was found."""
         return ConfigurationError(self.reason, field=self.field, path=path)
 
@@ -154,7 +154,7 @@
     try:
         return parse_configuration(fallbacks | document)
     except ConfigurationError as error:
-        raise error.at(path) from error
+        raise error.with_path(path) from error
     except KeyError as error:
         raise ConfigurationError(f"{error} is missing", path=path) from error
     except (TypeError, ValueError, AttributeError) as error:
--- a/gatebank/proxy/discovery.py
+++ b/gatebank/proxy/discovery.py
@@ -43,7 +43,11 @@
 # outstanding.
 MIN_FREE_INDICES = 256
 NUMBER_LIMIT = 1e15  # Exclusive upper bound; beyond it a float no longer represents whole numbers exactly.
-CONDITIONS = {"SERVING": Condition.READY, "DRAINING": Condition.DRAINING, "DELETED": Condition.GONE}
+CONDITION_BY_LIFECYCLE = {
+    "SERVING": Condition.READY,
+    "DRAINING": Condition.DRAINING,
+    "DELETED": Condition.GONE,
+}
 NO_ADDRESS: Address = ("", 0)
 
 
@@ -146,7 +150,7 @@
     def parse_entry(self, instance: Mapping[str, Any]) -> ListEntry:
         """Validate one entry of a listing without changing the registry."""
         name = instance["instanceId"]
-        condition = CONDITIONS[instance["lifecycle"]]
+        condition = CONDITION_BY_LIFECYCLE[instance["lifecycle"]]
         started_ms = instance.get("startedAtMs") or 0
         weight = instance.get("weight", 1.0)
         cell = instance.get("cell") or 0
@@ -154,7 +158,7 @@
         are_whole = all(type(number) is int and number >= 0 for number in (cell, build))
         if not isinstance(name, str) or not name or not are_whole:
             raise ValueError(f"{name!r}: instanceId is empty, or cell or version_no is invalid")
-        if not (is_number(started_ms) and is_number(weight)):
+        if not (is_valid_number(started_ms) and is_valid_number(weight)):
             raise ValueError(f"{name!r}: startedAtMs or weight is not a valid number")
         is_gone = condition is Condition.GONE and not instance.get("hostPort")
         return ListEntry(
@@ -197,7 +201,7 @@
     return value
 
 
-def is_number(value: object) -> bool:
+def is_valid_number(value: object) -> bool:
     """Return whether a JSON value is a number from 0 up to NUMBER_LIMIT."""
     return type(value) in (int, float) and 0 <= value < NUMBER_LIMIT  # type: ignore[operator]
 
--- a/gatebank/proxy/event_queue.py
+++ b/gatebank/proxy/event_queue.py
@@ -43,7 +43,7 @@
         self.carry_out = carry_out
         self.on_failure = on_failure
         self.events: deque[Event] = deque()  # `dispatch` drains the queue.
-        self.dispatching = False
+        self.is_dispatching = False
 
     def dispatch(self, method: Callable[[*Arguments], None], *arguments: *Arguments) -> None:
         """Queue an event, and handle all queued events unless a caller further up the stack is doing so.
@@ -52,14 +52,14 @@
         final answer or prevents the next event from being handled.
         """
         self.events.append(Event(method, arguments))
-        if self.dispatching:
+        if self.is_dispatching:
             return
-        self.dispatching = True
+        self.is_dispatching = True
         try:
             while self.events:
                 self.handle(self.events.popleft())
         finally:
-            self.dispatching = False
+            self.is_dispatching = False
 
     def handle(self, event: Event) -> None:
         """Pass one event to the balancer, and execute the resulting actions."""
--- a/gatebank/proxy/release_messages.py
+++ b/gatebank/proxy/release_messages.py
@@ -18,20 +18,20 @@
 MAX_EVENT_BYTES = 16 * 1024  # Size limit of one event; the release service sends no longer ones.
 MIN_AGE_S = -10.0  # Exclusive lower bound; slightly negative ages occur, because clocks may differ a little.
 MAX_AGE_S = 1e9  # Exclusive upper bound of some thirty years; anything larger is not a plausible age.
-PHASES = {
+PHASE_BY_PROGRESS = {
     "IN_PROGRESS": Phase.CANARY,
     "ROLLING_BACK": Phase.ROLLING_BACK,
     "COMPLETE": Phase.RELEASED,
     "ROLLED_BACK": Phase.ROLLED_BACK,
 }
-REFUSALS = {
+REPLY_STATUS_BY_ERROR_CODE = {
     "too_many_calls": ReplyStatus.RATE_LIMITED,
     "out_of_date": ReplyStatus.STALE,
     "unavailable": ReplyStatus.UNAVAILABLE,
     "bad_request": ReplyStatus.UNAVAILABLE,
 }
 # Error codes that every instance receives in normal operation; they are not logged.
-EXPECTED_REFUSALS = ("too_many_calls", "out_of_date")
+EXPECTED_ERROR_CODES = ("too_many_calls", "out_of_date")
 # Order in which a build's phases follow one another: a canary passes through its stages, is then released,
 # and may be rolled back at any time. No phase is followed by an earlier one.
 PHASE_ORDER = (Phase.CANARY, Phase.RELEASED, Phase.ROLLING_BACK, Phase.ROLLED_BACK)
@@ -71,7 +71,7 @@
         cap = to_float(fields["ceiling"])
         age = to_float(fields.get("lag_ms", 0)) / 1000
         check_ranges(build, stage, cap, age)
-        phase = PHASES[str(fields["progress"])]
+        phase = PHASE_BY_PROGRESS[str(fields["progress"])]
     except (KeyError, TypeError, ValueError) as error:
         raise ReleaseStatusError(
             f"the release state cannot be parsed: {type(error).__name__} {error}"
@@ -124,9 +124,9 @@
     except (ParseError, DefusedXmlException, ReleaseStatusError, ValueError, LookupError) as error:
         log_kv("desk_unread", logging.WARNING, why=error)
         return ReleaseStatus(ReplyStatus.TIMED_OUT, True)
-    if code not in EXPECTED_REFUSALS:
+    if code not in EXPECTED_ERROR_CODES:
         log_kv("vote_refused", logging.WARNING, status=status, code=code)
-    return ReleaseStatus(REFUSALS.get(code or "", ReplyStatus.TIMED_OUT), True)
+    return ReleaseStatus(REPLY_STATUS_BY_ERROR_CODE.get(code or "", ReplyStatus.TIMED_OUT), True)
 
 
 def progress(status: ReleaseStatus) -> Progress:
--- a/gatebank/proxy/release_service.py
+++ b/gatebank/proxy/release_service.py
@@ -39,7 +39,12 @@
 MIN_RECONNECT_S = 0.02
 MAX_RECONNECT_S = 0.5
 MAX_VOTES = 8  # Limit on outstanding votes; the release service accepts 32 connections from an instance.
-OPINIONS = {Verdict.NONE: "none", Verdict.PROMOTE: "on", Verdict.HOLD: "hold", Verdict.ROLL_BACK: "back"}
+OPINION_BY_VERDICT = {
+    Verdict.NONE: "none",
+    Verdict.PROMOTE: "on",
+    Verdict.HOLD: "hold",
+    Verdict.ROLL_BACK: "back",
+}
 
 
 class LatestStatus(NamedTuple):
@@ -108,16 +113,16 @@
             failed = ReleaseStatus(ReplyStatus.UNAVAILABLE, True)
             asyncio.get_running_loop().call_soon(self.accept_status, failed)
             return
-        task = asyncio.ensure_future(self.cast(self.address, vote))
+        task = asyncio.ensure_future(self.send_vote(self.address, vote))
         self.votes.add(task)
         task.add_done_callback(self.votes.discard)
 
-    async def cast(self, address: Address, vote: CastVote) -> None:
+    async def send_vote(self, address: Address, vote: CastVote) -> None:
         """Send one vote and wait for the reply.
 
         Each vote uses a new connection, so that no vote is sent on a connection that is just being closed.
         """
-        opinion = OPINIONS[vote.verdict]
+        opinion = OPINION_BY_VERDICT[vote.verdict]
         form = f"Action=PutApproval&image={vote.build}&ring={vote.stage}&opinion={opinion}"
         client = HttpClient(address)
         try:
--- a/gatebank/proxy/started_attempt.py
+++ b/gatebank/proxy/started_attempt.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from gatebank.proxy.dispatcher import Dispatcher
 
-IMMEDIATE_S = 0.01  # An attempt that does not wait for a connection is written within this time.
+IMMEDIATE_SEND_S = 0.01  # An attempt that does not wait for a connection is written within this time.
 
 
 class StartedAttempt:
@@ -59,7 +59,7 @@
         now = dispatcher.clock()
         if not self.endpoint_still_fits() or self.request.answered or now >= self.deadline:
             return None
-        if now > self.started + IMMEDIATE_S and not dispatcher.may_still_start(
+        if now > self.started + IMMEDIATE_SEND_S and not dispatcher.may_still_start(
             self.request, self.number, now
         ):
             return None
