--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -45,7 +45,10 @@
 
 
 class EndpointGroups:
-    """A fixed sequence of endpoints in groups. `ejection_changed` must be called after each change of an ejection."""
+    """A fixed sequence of endpoints in groups.
+
+    `ejection_changed` must be called after each ejection and after the end of each ejection.
+    """
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
         self.endpoints = endpoints
--- a/gatebank/statistics/order_statistics.py
+++ b/gatebank/statistics/order_statistics.py
@@ -1,4 +1,4 @@
-"""A sorted collection of values that change one at a time: bisection for changes, direct access to the median.
+"""Sorted values that change one at a time: changes use bisection, the median is read directly.
 
 The values are kept in a plain sorted list. Moving half of 5,000 pointers takes 1 us, which is less than the
 steps of a balanced tree or a skip list cost in Python. benchmarks/counting.py measures sizes up to 100,000.
