--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -39,7 +39,9 @@
     if report:  # where this instance has little traffic, the fleet's figures dominate
         if request.request.request_class in held_up:
             return state.random() > HELD_UP_PROBE_SHARE
-        answers = max(0.5, sum(row.answers for w, row in enumerate(state.fleet.loads) if w not in held_up))
+        answers = max(
+            0.5, sum(row.answers for index, row in enumerate(state.fleet.loads) if index not in held_up)
+        )
         in_fleet = (served * in_fleet + FLEET_REPORT_WEIGHT * report.outstanding) / (
             served + FLEET_REPORT_WEIGHT
         )
@@ -70,8 +72,8 @@
     by_work = float(state.settings.weighs_by_work)  # if 0, worth is the priority weight over the mean latency
     means = [estimate.mean for estimate in state.latencies.by_class]
     pairs = zip(classes, means, strict=True)
-    worth = [each.priority_weight / (by_work or mean or 1) for each, mean in pairs]
-    objective = min(each.latency_objective for each in classes)
+    worth = [request_class.priority_weight / (by_work or mean or 1) for request_class, mean in pairs]
+    objective = min(request_class.latency_objective for request_class in classes)
     return served * objective * BOUND_SHARE * (1 + worth[request.request.request_class] / max(worth))
 
 
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -67,7 +67,11 @@
     latencies = state.fleet.latencies()
     limit = HELD_UP_FACTOR * min(filter(None, latencies), default=0.0)
     pairs = enumerate(zip(state.settings.request_classes, latencies, strict=False))
-    return {w for w, (each, latency) in pairs if latency > max(each.latency_objective, limit)}
+    return {
+        index
+        for index, (request_class, latency) in pairs
+        if latency > max(request_class.latency_objective, limit)
+    }
 
 
 def vote_renewal_delay(state: BalancerState, reply: ReplyStatus) -> float:
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -65,12 +65,12 @@
     ):
         group = "zone" if request_class.retry_group == "zone" else "cell"
         first = getattr(may_have_run[0].endpoint.listed, group)
-        found = [each for each in found if getattr(each.listed, group) == first]
+        found = [endpoint for endpoint in found if getattr(endpoint.listed, group) == first]
     if request.request.key in state.sticky_builds:
         lowest = state.sticky_builds[request.request.key]
-        found = [each for each in found if each.listed.build >= lowest]
+        found = [endpoint for endpoint in found if endpoint.listed.build >= lowest]
     if tried := {id(attempt.endpoint) for attempt in request.attempts}:
-        found = [each for each in found if id(each) not in tried] or found
+        found = [endpoint for endpoint in found if id(endpoint) not in tried] or found
     return found
 
 
@@ -80,11 +80,11 @@
     If slow start admits neither of the two, the first endpoint in random order that it admits is taken.
     """
     endpoints = selection.healthy or selection.endpoints
-    choices = [each for each in _sample_from_subset(state, endpoints) if admits(state, each)]
+    choices = [endpoint for endpoint in _sample_from_subset(state, endpoints) if admits(state, endpoint)]
     if not choices:
         in_random_order = state.sample(endpoints, len(endpoints))
-        choices = list(islice((each for each in in_random_order if admits(state, each)), 1))
-    return min(choices, key=lambda each: load_score(state, each)) if choices else None
+        choices = list(islice((endpoint for endpoint in in_random_order if admits(state, endpoint)), 1))
+    return min(choices, key=lambda endpoint: load_score(state, endpoint)) if choices else None
 
 
 def _sample_from_subset(state: BalancerState, endpoints: list[EndpointState]) -> list[EndpointState]:
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -93,8 +93,10 @@
         elif len(selected) == 1:
             endpoints = self.by_build[selected[0]]
         else:
-            endpoints = [each for each in self.endpoints if (each.listed.build in builds) is not excluded]
-        return Selection(endpoints, [each for each in endpoints if not each.ejected])
+            endpoints = [
+                endpoint for endpoint in self.endpoints if (endpoint.listed.build in builds) is not excluded
+            ]
+        return Selection(endpoints, [endpoint for endpoint in endpoints if not endpoint.ejected])
 
     def oldest(self, build: int, minimum: int, same_age_s: float) -> OldestEndpoints:
         """Return the endpoints of a build that started first.
@@ -107,7 +109,7 @@
         key = build, minimum, same_age_s
         found = self._oldest.get(key)
         if found is None:
-            starts = sorted(each.listed.started or 0.0 for each in self.by_build.get(build, ()))
+            starts = sorted(endpoint.listed.started or 0.0 for endpoint in self.by_build.get(build, ()))
             until = starts[min(minimum, len(starts)) - 1] + same_age_s if starts else 0.0
             found = self._oldest[key] = OldestEndpoints(until, bisect_right(starts, until))
         return found
@@ -121,7 +123,7 @@
     def healthy_count(self) -> int:
         """Return the number of endpoints that are not ejected."""
         if self._ejected is None:
-            self._ejected = sum(each.ejected for each in self.endpoints)
+            self._ejected = sum(endpoint.ejected for endpoint in self.endpoints)
         return len(self.endpoints) - self._ejected
 
     def capacity(
@@ -169,7 +171,7 @@
         """
         found = self._medians.get(key)
         if found is None:
-            values = OrderStatistics(value_of(each) for each in self.endpoints if counts(each))
+            values = OrderStatistics(value_of(endpoint) for endpoint in self.endpoints if counts(endpoint))
             found = self._medians[key] = values, counts
         return found[0].median(empty)
 
@@ -202,9 +204,9 @@
     __slots__ = ("_cold", "_warm")
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
-        started = [each for each in endpoints if each.listed.started]
-        others = [each for each in endpoints if not each.listed.started]
-        self._cold = sorted(started, key=lambda each: each.listed.started or 0.0, reverse=True)
+        started = [endpoint for endpoint in endpoints if endpoint.listed.started]
+        others = [endpoint for endpoint in endpoints if not endpoint.listed.started]
+        self._cold = sorted(started, key=lambda endpoint: endpoint.listed.started or 0.0, reverse=True)
         self._warm = others[:1] * len(others)
 
     def warm_count(self, now: float, warm_up: float) -> int:
