--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -62,11 +62,11 @@
     def send(self, due: float) -> None:
         """Send a request that is due at this time, in s of the performance counter."""
         self.due.append(due)
-        self.transport.write(resp.command(random_request(self.load.generator)))
+        self.transport.write(resp.encode_command(random_request(self.load.generator)))
 
     def data_received(self, data: bytes) -> None:
         """Give the load all replies that are complete."""
-        inbox = resp.Inbox.over(self.data + data)
+        inbox = resp.Resp2Buffer.from_bytes(self.data + data)
         for reply in inbox.replies():
             self.load.replied(self, reply.type_byte == "$", self.due.popleft())
         self.data = bytes(inbox.data[inbox.start :])
--- a/benchmarks/traffic.py
+++ b/benchmarks/traffic.py
@@ -80,7 +80,7 @@
         reply = b"$%d\r\n%b\r\n" % (len(self.value), self.value)
         for _ in range(self.traffic.exchanges):
             conversation = self.generator.choice(self.conversations)
-            yield from self.say(conversation, CLIENT, resp.command(random_request(self.generator)))
+            yield from self.say(conversation, CLIENT, resp.encode_command(random_request(self.generator)))
             self.now_ns += STEP_NS
             yield from self.say(conversation, INSTANCE, reply)
             self.now_ns += STEP_NS
--- a/gatebank/capture/resp2.py
+++ b/gatebank/capture/resp2.py
@@ -190,7 +190,7 @@
                 data = data[start:]
                 buffer.is_at_message = True
                 buffer.first_packet = self._connection.packet
-            inbox = resp.Inbox.over(data, self._collector.limits.max_message_bytes)
+            inbox = resp.Resp2Buffer.from_bytes(data, self._collector.limits.max_message_bytes)
             try:
                 for arguments in inbox.commands():
                     self._add_command([bytes(argument) for argument in arguments], at, buffer)
@@ -203,7 +203,7 @@
                 self._pairing.on_unreadable_command(at)
                 buffer.is_at_message = False
                 continue
-            self._hold(self._client_side, at, data[inbox.start :], inbox.needs)
+            self._hold(self._client_side, at, data[inbox.start :], inbox.bytes_needed)
             return
 
     def _find_command(self, data: bytes, search_from: int, at: int) -> int:
@@ -250,9 +250,9 @@
 
     def _report_partial_command(self, buffer: MessageBuffer, rest: bytes) -> None:
         """A command that is not complete is reported with what is known of it."""
-        inbox = resp.Inbox.over(rest, self._collector.limits.max_message_bytes)
+        inbox = resp.Resp2Buffer.from_bytes(rest, self._collector.limits.max_message_bytes)
         try:
-            arguments = inbox.values_so_far()
+            arguments = inbox.partial_command_values()
         except resp.ProtocolError:
             return
         if arguments and arguments[0].upper() in REQUEST_COMMANDS:
@@ -265,7 +265,7 @@
         if not pairing.state.is_in_sync and not pairing.pending_count:
             self._counts.answers_not_paired += 1
             return
-        inbox = resp.Inbox.over(data, self._collector.limits.max_message_bytes)
+        inbox = resp.Resp2Buffer.from_bytes(data, self._collector.limits.max_message_bytes)
         try:
             for reply in inbox.replies():
                 pairing.add_response(reply, at, self._connection.packet)
@@ -273,7 +273,7 @@
             self._counts.unreadable += 1
             self._lose_pending(at)
             return
-        self._hold(1 - self._client_side, at, data[inbox.start :], inbox.needs)
+        self._hold(1 - self._client_side, at, data[inbox.start :], inbox.bytes_needed)
 
     def _lose_pending(self, at: int) -> None:
         self._pairing.lose_pending(at)
--- a/gatebank/proxy/dispatcher.py
+++ b/gatebank/proxy/dispatcher.py
@@ -166,7 +166,7 @@
         """
         for attempt in request.attempts:
             if attempt:
-                attempt.give_up(Outcome.TIMED_OUT)
+                attempt.abort(Outcome.TIMED_OUT)
         if not request.answered:
             say("unanswered", logging.ERROR, workload=request.client_request.request_class)
             self.abandon(request)
@@ -241,7 +241,7 @@
         if not attempt.done:
             request.attempts[number] = attempt
             if end < request.deadline:
-                attempt.timer = self.loop.call_later(end - now, attempt.give_up, Outcome.TIMED_OUT)
+                attempt.timer = self.loop.call_later(end - now, attempt.abort, Outcome.TIMED_OUT)
 
     def may_still_start(self, request: RequestInFlight, attempt: int, now: float) -> bool:
         """Ask the balancer whether an attempt that had to wait may still be sent."""
@@ -352,7 +352,7 @@
         request = self.requests.get(number)
         attempt = request.attempts[attempt_number] if request else None
         if attempt:
-            attempt.give_up(Outcome.CANCELLED)
+            attempt.abort(Outcome.CANCELLED)
 
     def cast_vote(self, vote: CastVote) -> None:
         """Vote at the release service."""
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -50,13 +50,13 @@
         self.connections: dict[ClientConnection, None] = {}
         self.unwritten_bytes = 0
         self.peak_count = 0
-        self.leaving = False
+        self.shutting_down = False
         self.terminated_at: float | None = None
-        self.kill_after = limits.KILL_GRACE_S + longest_deadline(settings)  # s after SIGTERM
-        self.accepting = Pending()
-        self.acceptor: asyncio.Task[None] | None = None  # the task that accepts
-        self.broken_count = 0
-        self.broken_logged_at = -limits.BROKEN_LOG_INTERVAL_S
+        self.sigkill_delay = limits.SIGKILL_GRACE_S + longest_deadline(settings)  # s after SIGTERM
+        self.pending_accept = Pending()
+        self.accept_task: asyncio.Task[None] | None = None  # the task that accepts
+        self.protocol_error_count = 0
+        self.protocol_error_logged_at = -limits.PROTOCOL_ERROR_LOG_INTERVAL_S
         self.listener: socket.socket | None = None
 
     # Connections in.
@@ -74,24 +74,24 @@
 
     async def accept(self) -> None:
         """Accept connections while there is a listener; beyond the bound they wait in the backlog."""
-        self.acceptor = asyncio.current_task()
+        self.accept_task = asyncio.current_task()
         while self.listener:
             try:
-                sock, _ = await self.accepting.of(self.loop.sock_accept(self.listener))
+                sock, _ = await self.pending_accept.of(self.loop.sock_accept(self.listener))
             except OSError as error:
                 say("accept_failed", logging.WARNING, why=error)
                 await asyncio.sleep(limits.ACCEPT_RETRY_S)
                 continue
-            await self.wait_for_room(self.welcome(sock))
+            await self.wait_for_room(self.add_connection(sock))
 
     async def wait_for_room(self, newest: ClientConnection) -> None:
         """Return once the bound is kept, by closing others; the next wait in the backlog until then."""
         while True:
             if len(self.connections) <= self.max_connections or self.make_room(newest):
                 return
-            await asyncio.sleep(limits.FULL_RETRY_S)
+            await asyncio.sleep(limits.MAKE_ROOM_RETRY_S)
 
-    def welcome(self, sock: socket.socket) -> ClientConnection:
+    def add_connection(self, sock: socket.socket) -> ClientConnection:
         """Begin a connection that has been accepted."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -122,9 +122,11 @@
         Clients may hold a third of the descriptors for what they ask, and some keep for good what they asked
         once with: so others still find a connection.
         """
-        idle = [each for each in self.connections if each.idle and each.has_spoken and not each.ending]
+        idle = [each for each in self.connections if each.idle and each.has_sent_command and not each.closing]
         for connection in idle[: max(0, len(idle) - self.max_connections // 3)]:
-            if not connection.command_since and not connection.would_lose(self.loop.time()):
+            if not connection.partial_command_since and not connection.close_would_lose_data(
+                self.loop.time()
+            ):
                 connection.close()
 
     def make_room(self, newest: ClientConnection | None) -> bool:
@@ -135,10 +137,14 @@
         """
         now = self.loop.time()
         idle = [each for each in self.connections if each.idle and each is not newest]
-        silent = [each for each in idle if each.ending or (not each.has_spoken and is_past_grace(each, now))]
-        spoken = [each for each in idle if each.has_spoken and not each.ending]
+        silent = [
+            each for each in idle if each.closing or (not each.has_sent_command and is_past_grace(each, now))
+        ]
+        spoken = [each for each in idle if each.has_sent_command and not each.closing]
         candidates = silent + spoken
-        found = next((each for each in candidates if each.ending or not each.would_lose(now)), None)
+        found = next(
+            (each for each in candidates if each.closing or not each.close_would_lose_data(now)), None
+        )
         if found:
             found.close()
         return found is not None
@@ -151,51 +157,53 @@
             say("client_cut", logging.WARNING, why="too many bytes owed", owed=self.unwritten_bytes)
             self.close_soon(worst)
 
-    def report_broken(self, reason: str) -> None:
+    def report_protocol_error(self, reason: str) -> None:
         """Count who sent what is no command, and log some of them."""
-        self.broken_count += 1
-        if self.loop.time() >= self.broken_logged_at + limits.BROKEN_LOG_INTERVAL_S:
-            self.broken_logged_at = self.loop.time()
-            say("client_broken", logging.WARNING, why=reason, so_far=self.broken_count)
+        self.protocol_error_count += 1
+        if self.loop.time() >= self.protocol_error_logged_at + limits.PROTOCOL_ERROR_LOG_INTERVAL_S:
+            self.protocol_error_logged_at = self.loop.time()
+            say("client_broken", logging.WARNING, why=reason, so_far=self.protocol_error_count)
 
     def close_soon(self, connection: ClientConnection) -> None:
         """Close it, but not amid what is being done to it."""
         self.loop.call_soon(connection.close)
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         """A connection closes: neither it nor its bytes count any more."""
         self.connections.pop(connection, None)
         self.unwritten_bytes -= len(connection.unwritten)
 
     # Graceful shutdown.
 
-    def settle(self, connection: ClientConnection) -> None:
+    def close_if_finished(self, connection: ClientConnection) -> None:
         """An answer is out: while this instance leaves, a connection ends when it is idle."""
-        if not self.leaving or not connection.idle or connection.ending:
+        if not self.shutting_down or not connection.idle or connection.closing:
             return
         now = self.loop.time()
-        if not connection.command_since and not connection.would_lose(now):
-            if connection.has_spoken or is_past_grace(connection, now):  # who just came may be about to speak
+        if not connection.partial_command_since and not connection.close_would_lose_data(now):
+            if connection.has_sent_command or is_past_grace(
+                connection, now
+            ):  # who just came may be about to speak
                 connection.close()
-        elif self.time_left() < limits.LAST_READ_S and not connection.is_being_read():
+        elif self.time_until_sigkill() < limits.STOP_READING_MARGIN_S and not connection.is_being_read():
             connection.stop_reading()
 
-    def time_left(self) -> float:
+    def time_until_sigkill(self) -> float:
         """Seconds until SIGKILL may come; no end is in sight before SIGTERM."""
         if self.terminated_at is None:
             return inf
-        return self.terminated_at + self.kill_after - self.loop.time()
+        return self.terminated_at + self.sigkill_delay - self.loop.time()
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """SIGTERM: serve on until nobody sends anew, then close each connection as it becomes idle."""
         self.terminated_at = self.loop.time()
         await asyncio.sleep(limits.ACCEPT_AFTER_SIGTERM_S)
         await self.stop_listening()
-        self.leaving = True
+        self.shutting_down = True
         while self.connections:
             for connection in list(self.connections):
-                self.settle(connection)
-            await asyncio.sleep(limits.LEAVE_CHECK_S)
+                self.close_if_finished(connection)
+            await asyncio.sleep(limits.SHUTDOWN_CHECK_INTERVAL_S)
 
     async def stop_listening(self) -> None:
         """Close the listener; what the machine has accepted, this instance takes.
@@ -208,25 +216,25 @@
         self.listener = None
         if not listener:
             return
-        if self.acceptor and not self.accepting.done:
-            self.acceptor.cancel()
-        until = self.loop.time() + limits.COMMAND_SILENCE_S
+        if self.accept_task and not self.pending_accept.done:
+            self.accept_task.cancel()
+        until = self.loop.time() + limits.COMMAND_IDLE_TIMEOUT_S
         while self.loop.time() < until:
             try:
-                self.welcome(listener.accept()[0])
+                self.add_connection(listener.accept()[0])
             except BlockingIOError:
                 break
             except ConnectionAbortedError:
                 continue
             except OSError:  # no descriptor
                 if not self.make_room(None):
-                    await asyncio.sleep(limits.FULL_RETRY_S)
+                    await asyncio.sleep(limits.MAKE_ROOM_RETRY_S)
         listener.close()
 
     def close(self) -> None:
         """Give back the listener and all connections."""
-        if self.acceptor:
-            self.acceptor.cancel()
+        if self.accept_task:
+            self.accept_task.cancel()
         if self.listener:
             self.listener.close()
         self.listener = None
@@ -236,7 +244,7 @@
 
 def is_past_grace(connection: ClientConnection, now: float) -> bool:
     """Who came has had its time to speak."""
-    return now - connection.since >= limits.FIRST_COMMAND_GRACE_S
+    return now - connection.timeout_start >= limits.FIRST_COMMAND_GRACE_S
 
 
 def longest_deadline(settings: Settings) -> float:
--- a/gatebank/proxy/downstream/replies.py
+++ b/gatebank/proxy/downstream/replies.py
@@ -61,15 +61,15 @@
 
     def serve(self, value: memoryview) -> None:
         """See `ReplySink`."""
-        self.send(self.connection.session.value(value))
+        self.send(self.connection.session.encode_value(value))
 
     def reject(self, retry_after: float | None) -> None:
         """See `ReplySink`."""
-        self.send(self.connection.session.rejection(retry_after))
+        self.send(self.connection.session.encode_rejection(retry_after))
 
     def fail(self, reason: str) -> None:
         """See `ReplySink`."""
-        self.send(self.connection.session.failure(reason))
+        self.send(self.connection.session.encode_failure(reason))
 
     def send(self, parts: Sequence[bytes | memoryview]) -> None:
         """Send the answer when its turn has come; until then it is kept, and copied, as its buffer is not."""
--- a/gatebank/proxy/resp2/codec.py
+++ b/gatebank/proxy/resp2/codec.py
@@ -2,22 +2,22 @@
 
 A slice is good until the buffer is next read into; who needs it longer copies it.
 
->>> inbox = Inbox()
->>> inbox.put(b"*2\r\n$4\r\nPING\r\n$1\r\nx\r\n*1\r\n$4\r\nPI")
+>>> inbox = Resp2Buffer()
+>>> inbox.feed(b"*2\r\n$4\r\nPING\r\n$1\r\nx\r\n*1\r\n$4\r\nPI")
 >>> [[bytes(word) for word in command] for command in inbox.commands()]
 [[b'PING', b'x']]
->>> inbox.put(b"NG\r\n")
+>>> inbox.feed(b"NG\r\n")
 >>> [[bytes(word) for word in command] for command in inbox.commands()]
 [[b'PING']]
->>> inbox.put(b"*3\r\n$2\r\nok\r\n$-1\r\n$6\r\nutil=1\r\n-BUSY\r\n$")
+>>> inbox.feed(b"*3\r\n$2\r\nok\r\n$-1\r\n$6\r\nutil=1\r\n-BUSY\r\n$")
 >>> [(r.type_byte, [w and bytes(w) for w in r.values]) for r in inbox.replies()]
 [('*', [b'ok', None, b'util=1']), ('-', [b'BUSY'])]
 
 Cut anywhere, it is the same:
 
->>> found, inbox = [], Inbox()
+>>> found, inbox = [], Resp2Buffer()
 >>> for byte in b"*2\r\n$2\r\nok\r\n$-1\r\n+PONG\r\n$4\r\n\r\n\r\n\r\n":
-...     inbox.put(bytes([byte]))
+...     inbox.feed(bytes([byte]))
 ...     found += [(r.type_byte, [w and bytes(w) for w in r.values]) for r in inbox.replies()]
 >>> found
 [('*', [b'ok', None]), ('+', [b'PONG']), ('$', [b'\r\n\r\n'])]
@@ -30,15 +30,24 @@
 
 from gatebank.proxy.buffers import Allowance, ProtocolError
 
-__all__ = ["MAX_VALUE", "Allowance", "Inbox", "ProtocolError", "Reply", "bulk", "bulks", "command"]
-
-MAX_VALUE = 64 * 1024  # bytes a value may hold: PROTOCOL; nodes are seen to give more
-MAX_VALUES = 16  # in one message; the protocol's longest has five
-MAX_LINE = 4096  # an error line, or a length
-MAX_LENGTH_LINE = 16  # bytes of a line that tells a length
-MAX_BLANK = 64  # bytes of blank lines before a command
-INITIAL_ROOM = 4096  # bytes of a buffer; most messages fit
-MIN_ROOM = 1024  # bytes that a read wants
+__all__ = [
+    "MAX_VALUE_BYTES",
+    "Allowance",
+    "ProtocolError",
+    "Reply",
+    "Resp2Buffer",
+    "encode_bulk_string",
+    "encode_bulk_strings",
+    "encode_command",
+]
+
+MAX_VALUE_BYTES = 64 * 1024  # bytes a value may hold: PROTOCOL; nodes are seen to give more
+MAX_ARRAY_LENGTH = 16  # in one message; the protocol's longest has five
+MAX_LINE_BYTES = 4096  # an error line, or a length
+MAX_LENGTH_LINE_BYTES = 16  # bytes of a line that tells a length
+MAX_BLANK_BYTES = 64  # bytes of blank lines before a command
+INITIAL_BUFFER_BYTES = 4096  # bytes of a buffer; most messages fit
+MIN_READ_BYTES = 1024  # bytes that a read wants
 
 
 @dataclass(slots=True)
@@ -54,7 +63,7 @@
     values: list[memoryview | None]
 
 
-class Inbox:
+class Resp2Buffer:
     """One connection's buffer.
 
     It grows to what one message may need, within an allowance that many share, and shrinks again when empty;
@@ -69,38 +78,38 @@
         needs: Bytes that the message begun last needs to be whole, as far as they are known.
     """
 
-    def __init__(self, allowance: Allowance | None = None, max_value: int = MAX_VALUE) -> None:
+    def __init__(self, allowance: Allowance | None = None, max_value: int = MAX_VALUE_BYTES) -> None:
         self.max_value = max_value
-        self.max_size = max_value + MAX_LINE * 4
-        self.data: bytearray | bytes = bytearray(INITIAL_ROOM)
+        self.max_size = max_value + MAX_LINE_BYTES * 4
+        self.data: bytearray | bytes = bytearray(INITIAL_BUFFER_BYTES)
         self.allowance = allowance or Allowance(self.max_size)
-        self.taken = 0  # of the allowance
+        self.allowance_taken = 0  # of the allowance
         self.start = 0
         self.end = 0
-        self.needs = 0
+        self.bytes_needed = 0
 
     @classmethod
-    def over(cls, data: bytes, max_value: int = MAX_VALUE) -> Inbox:
+    def from_bytes(cls, data: bytes, max_value: int = MAX_VALUE_BYTES) -> Resp2Buffer:
         r"""Read bytes that are at hand already and stay as they are: nothing is copied, nothing read into it.
 
-        >>> inbox = Inbox.over(b"*1\r\n$9\r\nPIN")
-        >>> list(inbox.commands()), inbox.needs, inbox.values_so_far()
+        >>> inbox = Resp2Buffer.from_bytes(b"*1\r\n$9\r\nPIN")
+        >>> list(inbox.commands()), inbox.bytes_needed, inbox.partial_command_values()
         ([], 19, [])
         """
         self = cls.__new__(cls)
         self.max_value = max_value
-        self.max_size = max_value + MAX_LINE * 4
+        self.max_size = max_value + MAX_LINE_BYTES * 4
         self.data = data
         self.start = 0
         self.end = len(data)
-        self.needs = 0
-        self.taken = 0
+        self.bytes_needed = 0
+        self.allowance_taken = 0
         return self
 
     def close(self) -> None:
         """Give back what was taken of the allowance."""
-        self.allowance.left += self.taken
-        self.taken = 0
+        self.allowance.left += self.allowance_taken
+        self.allowance_taken = 0
 
     def room(self) -> memoryview:
         """Where the next read goes; ends the life of all slices given out.
@@ -110,20 +119,20 @@
         """
         assert isinstance(self.data, bytearray), "nothing is read into an inbox over bytes"
         held = self.held
-        if not held and len(self.data) > INITIAL_ROOM:
-            self.data = bytearray(INITIAL_ROOM)
+        if not held and len(self.data) > INITIAL_BUFFER_BYTES:
+            self.data = bytearray(INITIAL_BUFFER_BYTES)
             self.close()
         elif self.start:
             self.data[:held] = self.data[self.start : self.end]
         self.start = 0
         self.end = held
-        if len(self.data) - held < MIN_ROOM:
+        if len(self.data) - held < MIN_READ_BYTES:
             if held >= self.max_size:
                 raise ProtocolError("a message is too long")
-            more = min(held, self.max_size - held) + MIN_ROOM - (len(self.data) - held)
+            more = min(held, self.max_size - held) + MIN_READ_BYTES - (len(self.data) - held)
             if not self.allowance.take(more):
                 raise ProtocolError("no room for a message so long")
-            self.taken += more
+            self.allowance_taken += more
             self.data = self.data + bytearray(more)
         return memoryview(self.data)[held:]
 
@@ -136,7 +145,7 @@
         """Bytes of a message that is not whole yet."""
         return self.end - self.start
 
-    def put(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Copy bytes in, as if they were read."""
         while data:
             room = self.room()
@@ -145,7 +154,7 @@
             self.filled(size)
             data = data[size:]
 
-    def line(self, at: int, max_length: int = MAX_LINE) -> tuple[int, int] | None:
+    def find_line_end(self, at: int, max_length: int = MAX_LINE_BYTES) -> tuple[int, int] | None:
         """Where the line from ``at`` ends, and where the next begins; None if it is not whole."""
         found = self.data.find(b"\r\n", at, self.end)
         if found < 0:
@@ -154,9 +163,9 @@
             return None
         return found, found + 2
 
-    def size(self, at: int, minimum: int, maximum: int) -> tuple[int, int] | None:
+    def parse_length(self, at: int, minimum: int, maximum: int) -> tuple[int, int] | None:
         """The number in the line behind ``at``, and where the next line begins; None if it is not whole."""
-        if not (line := self.line(at + 1, MAX_LENGTH_LINE)):
+        if not (line := self.find_line_end(at + 1, MAX_LENGTH_LINE_BYTES)):
             return None
         text = bytes(self.data[at + 1 : line[0]])
         digits = text[1:] if text[:1] == b"-" else text
@@ -164,44 +173,44 @@
             raise ProtocolError("a length is senseless")
         return int(text), line[1]
 
-    def bulk(self, at: int, min_length: int) -> tuple[memoryview | None, int] | None:
+    def parse_bulk_string(self, at: int, min_length: int) -> tuple[memoryview | None, int] | None:
         """The bulk string at ``at``, and where the next begins; None if it is not whole."""
         if at >= self.end:
             return None
         if self.data[at] != 0x24:  # $
             raise ProtocolError("no bulk string where one belongs")
-        if not (found := self.size(at, min_length, self.max_value)):
+        if not (found := self.parse_length(at, min_length, self.max_value)):
             return None
         size, begin = found
         if size < 0:
             return None, begin
         if begin + size + 2 > self.end:
-            self.needs = begin + size + 2 - self.start
+            self.bytes_needed = begin + size + 2 - self.start
             return None
         if self.data[begin + size : begin + size + 2] != b"\r\n":
             raise ProtocolError("a bulk string does not end where it says")
         return memoryview(self.data)[begin : begin + size], begin + size + 2
 
-    def array(self, min_length: int) -> tuple[list[memoryview | None], int] | None:
+    def parse_array(self, min_length: int) -> tuple[list[memoryview | None], int] | None:
         """The array at the start, and where the next message begins; None if it is not whole."""
-        if not (found := self.size(self.start, 0, MAX_VALUES)):
+        if not (found := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
             return None
         count, at = found
         values: list[memoryview | None] = []
         for _ in range(count):
-            if not (bulk := self.bulk(at, min_length)):
+            if not (bulk := self.parse_bulk_string(at, min_length)):
                 return None
             values.append(bulk[0])
             at = bulk[1]
         return values, at
 
-    def values_so_far(self) -> list[bytes]:
+    def partial_command_values(self) -> list[bytes]:
         """The whole words of a command that is not whole."""
         found: list[bytes] = []
-        if self.held and (count := self.size(self.start, 0, MAX_VALUES)):
+        if self.held and (count := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
             at = count[1]
             try:
-                while len(found) < count[0] and (bulk := self.bulk(at, 0)):
+                while len(found) < count[0] and (bulk := self.parse_bulk_string(at, 0)):
                     found.append(bytes(bulk[0] or b""))
                     at = bulk[1]
             except ProtocolError:  # the next is none
@@ -215,12 +224,12 @@
             if self.data[self.start] in b"\r\n":
                 self.start += 1
                 blank += 1
-                if blank > MAX_BLANK:
+                if blank > MAX_BLANK_BYTES:
                     raise ProtocolError("nothing but blank lines")
                 continue
             if self.data[self.start] != 0x2A:  # *
                 raise ProtocolError("a command is an array of bulk strings")
-            if not (found := self.array(0)):
+            if not (found := self.parse_array(0)):
                 return
             values, self.start = found
             if values:
@@ -232,15 +241,15 @@
         while self.start < self.end:
             type_byte = chr(self.data[self.start])
             if type_byte == "*":
-                if not (found := self.array(-1)):
+                if not (found := self.parse_array(-1)):
                     return
                 values, self.start = found
             elif type_byte == "$":
-                if not (bulk := self.bulk(self.start, -1)):
+                if not (bulk := self.parse_bulk_string(self.start, -1)):
                     return
                 values, self.start = [bulk[0]], bulk[1]
             elif type_byte in "+-:":
-                if not (line := self.line(self.start + 1)):
+                if not (line := self.find_line_end(self.start + 1)):
                     return
                 values = [memoryview(self.data)[self.start + 1 : line[0]]]
                 self.start = line[1]
@@ -249,20 +258,20 @@
             yield Reply(type_byte, values)
 
 
-def command(values: Sequence[bytes | memoryview]) -> bytes:
+def encode_command(values: Sequence[bytes | memoryview]) -> bytes:
     r"""Encode a command.
 
-    >>> command([b"PING"])
+    >>> encode_command([b"PING"])
     b'*1\r\n$4\r\nPING\r\n'
     """
-    return b"*%d\r\n" % len(values) + bulks(values)
+    return b"*%d\r\n" % len(values) + encode_bulk_strings(values)
 
 
-def bulks(values: Sequence[bytes | memoryview]) -> bytes:
+def encode_bulk_strings(values: Sequence[bytes | memoryview]) -> bytes:
     """Encode bulk strings, one behind the other."""
-    return b"".join(part for word in values for part in bulk(word))
+    return b"".join(part for word in values for part in encode_bulk_string(word))
 
 
-def bulk(value: bytes | memoryview) -> tuple[bytes, bytes | memoryview, bytes]:
+def encode_bulk_string(value: bytes | memoryview) -> tuple[bytes, bytes | memoryview, bytes]:
     """Encode a bulk string in parts, so that its value is not copied."""
     return b"$%d\r\n" % len(value), value, b"\r\n"
--- a/gatebank/proxy/resp2/commands.py
+++ b/gatebank/proxy/resp2/commands.py
@@ -16,9 +16,9 @@
 from gatebank.proxy.resp2 import codec
 
 # Names that have a meaning here: request class, tenant, deadline, idempotency key, client retry, cost hint.
-KNOWN_NAMES = frozenset(("c", "t", "d", "k", "r", "h"))
+KNOWN_FIELDS = frozenset(("c", "t", "d", "k", "r", "h"))
 MAX_TIMEOUT_MS = 3_600_000  # beyond an hour nobody waits for an answer
-MAX_NAME_BYTES = 16  # of a command's name that are looked at
+MAX_COMMAND_NAME_BYTES = 16  # of a command's name that are looked at
 KEY_HASH_BYTES = 6  # of a routing key: what balancer and peers compare
 
 
@@ -59,7 +59,7 @@
         """
         head, before, after, body = self.parts
         names = b"%b%d%b" % (before, max(1, int(timeout * 1000)), after)
-        return b"".join((head, *codec.bulk(names), body))
+        return b"".join((head, *codec.encode_bulk_string(names), body))
 
 
 def parse_request(
@@ -80,13 +80,13 @@
     texts = bytes(arguments[3]).decode("utf-8", "surrogateescape").split(",")  # unknown names pass unchanged
     pairs = [text.partition("=")[::2] for text in texts]
     values = dict(pairs)
-    if sum(name in KNOWN_NAMES for name, _ in pairs) > len(KNOWN_NAMES & values.keys()):
+    if sum(name in KNOWN_FIELDS for name, _ in pairs) > len(KNOWN_FIELDS & values.keys()):
         raise CommandError("a name stands twice")
-    request_class = find_class(arguments, values, classes, tenants)
-    timeout_ms = parse_figure(values.get("d"))
+    request_class = find_request_class(arguments, values, classes, tenants)
+    timeout_ms = parse_positive_number(values.get("d"))
     if not timeout_ms or timeout_ms > MAX_TIMEOUT_MS:
         raise CommandError("d is no time")
-    cost_hint_us = parse_figure(values.get("h"))
+    cost_hint_us = parse_positive_number(values.get("h"))
     at = next(index for index, (name, _) in enumerate(pairs) if name == "d")
     parts = split_at_timeout(arguments, texts, at)
     return Resp2Request(
@@ -102,7 +102,7 @@
     )
 
 
-def find_class(
+def find_request_class(
     arguments: Sequence[memoryview],
     values: Mapping[str, str],
     classes: Mapping[str, RequestClassRef],
@@ -124,7 +124,7 @@
 
 def command_name(arguments: Sequence[memoryview]) -> bytes:
     """The command's name, which may be written in small letters."""
-    return bytes(arguments[0][:MAX_NAME_BYTES]).upper()
+    return bytes(arguments[0][:MAX_COMMAND_NAME_BYTES]).upper()
 
 
 def split_at_timeout(arguments: Sequence[memoryview], texts: Sequence[str], at: int) -> CommandParts:
@@ -132,20 +132,20 @@
     before = ",".join([*texts[:at], "d="])
     after = ",".join(["", *texts[at + 1 :]])
     return CommandParts(
-        b"*%d\r\n" % len(arguments) + codec.bulks(arguments[:3]),
+        b"*%d\r\n" % len(arguments) + codec.encode_bulk_strings(arguments[:3]),
         before.encode("utf-8", "surrogateescape"),
         after.encode("utf-8", "surrogateescape"),
-        codec.bulks(arguments[4:]),
+        codec.encode_bulk_strings(arguments[4:]),
     )
 
 
-def parse_figure(text: str | None) -> float | None:
+def parse_positive_number(text: str | None) -> float | None:
     r"""Plain digits, with a fraction perhaps; None for nothing, zero and all else that a language may take.
 
-    >>> parse_figure("480"), parse_figure("0.5"), parse_figure("0")
+    >>> parse_positive_number("480"), parse_positive_number("0.5"), parse_positive_number("0")
     (480.0, 0.5, None)
     >>> noise = ("nan", "-1", "1_0", " 1", "1e5", "\u0661", "", None)
-    >>> [text for text in noise if parse_figure(text) is not None]
+    >>> [text for text in noise if parse_positive_number(text) is not None]
     []
     """
     whole, _, fraction = (text or "").partition(".")
--- a/gatebank/proxy/resp2/endpoint_replies.py
+++ b/gatebank/proxy/resp2/endpoint_replies.py
@@ -18,7 +18,7 @@
     "tps": "qps",
     "err_ps": "eps",
 }
-MAX_FIGURE = 1e9  # of a load report, exclusive: no endpoint counts so high, so it is noise
+MAX_LOAD_VALUE = 1e9  # of a load report, exclusive: no endpoint counts so high, so it is noise
 
 
 def parse_attempt_reply(reply: codec.Reply, report_fields: Sequence[str]) -> EndpointReply:
@@ -61,4 +61,4 @@
         figures = [float(pairs[name]) for name in report_fields]
     except (ValueError, KeyError):
         return None
-    return figures if all(0 <= figure < MAX_FIGURE for figure in figures) else None
+    return figures if all(0 <= figure < MAX_LOAD_VALUE for figure in figures) else None
--- a/gatebank/proxy/resp2/session.py
+++ b/gatebank/proxy/resp2/session.py
@@ -31,11 +31,11 @@
         self.classes = classes
         self.tenants = tenants
 
-    def buffer(self, budget: Allowance) -> codec.Inbox:
+    def create_buffer(self, budget: Allowance) -> codec.Resp2Buffer:
         """The buffer of a new connection."""
-        return codec.Inbox(budget)
+        return codec.Resp2Buffer(budget)
 
-    def interpret(self, arguments: Sequence[memoryview]) -> ClientRequest | None:
+    def parse_command(self, arguments: Sequence[memoryview]) -> ClientRequest | None:
         """The request that a command is; None for a PING.
 
         Raises:
@@ -48,19 +48,19 @@
             return parse_request(arguments, self.classes, self.tenants)
         raise CommandError("unknown command")
 
-    def value(self, value: memoryview) -> Parts:
+    def encode_value(self, value: memoryview) -> Parts:
         """The answer with an endpoint's value, which is not copied."""
-        return codec.bulk(value)
+        return codec.encode_bulk_string(value)
 
-    def rejection(self, retry_after: float | None) -> Parts:
+    def encode_rejection(self, retry_after: float | None) -> Parts:
         """The answer that trying again is harmless, best after so many seconds."""
         return (b"-BUSY %d\r\n" % (retry_after * 1000) if retry_after else b"-BUSY\r\n",)
 
-    def failure(self, reason: str) -> Parts:
+    def encode_failure(self, reason: str) -> Parts:
         """The answer that promises nothing."""
         return (f"-ERR {reason}\r\n".encode(),)
 
-    def how_answered(self, answer: Parts) -> str:
+    def classify_answer(self, answer: Parts) -> str:
         """How a request ended, by its answer; recordings use these words."""
         first = answer[0]
         if first[:1] == b"$":
@@ -75,17 +75,17 @@
         report_fields: Of a load report, by the settings' names.
     """
 
-    health_check = codec.command([b"PING"])
-    max_value = codec.MAX_VALUE  # bytes that PROTOCOL allows an answer
+    health_check = codec.encode_command([b"PING"])
+    max_value = codec.MAX_VALUE_BYTES  # bytes that PROTOCOL allows an answer
 
     def __init__(self, report_fields: Sequence[str]) -> None:
         self.report_fields = [REPORT_FIELD_NAMES.get(name, name) for name in report_fields]
 
-    def buffer(self, budget: Allowance, max_value: int) -> codec.Inbox:
+    def create_buffer(self, budget: Allowance, max_value: int) -> codec.Resp2Buffer:
         """The buffer of a new connection, for values of so many bytes at most."""
-        return codec.Inbox(budget, max_value)
+        return codec.Resp2Buffer(budget, max_value)
 
-    def interpret(self, reply: codec.Reply, is_health_check: bool) -> EndpointReply:
+    def parse_reply(self, reply: codec.Reply, is_health_check: bool) -> EndpointReply:
         """What a reply to an attempt or to a health check means.
 
         Raises:
--- a/gatebank/proxy/service.py
+++ b/gatebank/proxy/service.py
@@ -246,7 +246,7 @@
         sweeps = 0
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            self.upstream.sweep()
+            self.upstream.close_expired_idle()
             sweeps += 1
             if sweeps % SWEEPS_PER_STATUS_LINE == 0 or LOG.isEnabledFor(logging.DEBUG):
                 self.log_standing()
@@ -268,7 +268,7 @@
             {
                 "in_hand": len(dispatcher.requests),
                 "clients": len(self.downstream.connections),
-                "clients_unread": self.downstream.broken_count,
+                "clients_unread": self.downstream.protocol_error_count,
                 "clients_peak": self.downstream.peak_count,
                 "node_connections": self.upstream.open_count,
                 "node_connections_peak": self.upstream.peak_count,
@@ -292,7 +292,7 @@
     async def shut_down(self) -> None:
         """The steps at SIGTERM; the module's head gives their order."""
         say("leaving", in_hand=len(self.dispatcher.requests))
-        await self.downstream.leave()
+        await self.downstream.shut_down()
         self.log_standing()
         if self.state_transfer:
             await self.state_transfer.finish()
--- a/gatebank/proxy/upstream/attempt.py
+++ b/gatebank/proxy/upstream/attempt.py
@@ -64,7 +64,7 @@
                 self.timer.cancel()
             self.on_result(reply)
 
-    def give_up(self, outcome: Outcome) -> None:
+    def abort(self, outcome: Outcome) -> None:
         """Cancelled or out of time: its connection is closed, so that it can't be answered later."""
         if not self.done:
             if self.connection:
--- a/gatebank/proxy/upstream/connection.py
+++ b/gatebank/proxy/upstream/connection.py
@@ -26,7 +26,7 @@
 ENDPOINT_SIDE = 1  # of a recorded connection: we opened it
 # An endpoint writes an answer in one go: where its next part does not come for so many times the time that a
 # connection may take to come up, it is spoilt.
-ANSWER_SILENCE_FACTOR = 2
+REPLY_STALL_FACTOR = 2
 
 
 class EndpointConnection(Stream):
@@ -36,14 +36,14 @@
         upstream = pool.upstream
         recording = upstream.record(sock) if upstream.record else None
         self.session = upstream.session
-        inbox = self.session.buffer(upstream.buffer_budget, upstream.max_value)
+        inbox = self.session.create_buffer(upstream.buffer_budget, upstream.max_value)
         super().__init__(upstream.loop, sock, inbox, recording)
-        self.whole_replies = inbox.replies
+        self.parse_replies = inbox.replies
         self.pool = pool
         self.attempt: Attempt | None = None  # that is out; cleared by its reply, or by `close`
         self.idle_since = time.monotonic()
-        self.rests_until = 0.0  # it has answered, and may do so twice
-        self.abandoned = ""  # for the recording: which attempt was given up, and why
+        self.reusable_at = 0.0  # it has answered, and may do so twice
+        self.abandonment_comment = ""  # for the recording: which attempt was given up, and why
         self.reader = asyncio.ensure_future(self.read())
 
     def write(self, attempt: Attempt) -> bool:
@@ -65,10 +65,10 @@
         if self.recording:
             self.recording.asked(data[:sent], attempt.label)
         if not attempt.written:
-            self.writer = asyncio.ensure_future(self.write_rest(attempt, data[sent:]))
+            self.writer = asyncio.ensure_future(self.write_remaining(attempt, data[sent:]))
         return True
 
-    async def write_rest(self, attempt: Attempt, rest: bytes) -> None:
+    async def write_remaining(self, attempt: Attempt, rest: bytes) -> None:
         """Write what the system did not take at once, the last byte by itself.
 
         The last byte decides whether the attempt is out. It may be from just before its write on: the loop
@@ -97,10 +97,10 @@
                     self.recording.replied(recorded)
                 self.handle_replies()
                 if not self.attempt and not self.closed:
-                    if self.ended_behind_answer():
+                    if self.ended_after_reply():
                         break
                     self.handling = False
-                    self.pool.rest(self)
+                    self.pool.park_after_reply(self)
                 self.handling = False
         except ProtocolError as error:
             idle = {} if self.attempt else {"idle": time.monotonic() - self.idle_since}
@@ -120,15 +120,15 @@
         room = self.inbox.room()
         timer = None
         if self.inbox.held:
-            patience = ANSWER_SILENCE_FACTOR * self.pool.upstream.connect_timeout
-            timer = self.loop.call_later(patience, self.on_answer_silent)
+            patience = REPLY_STALL_FACTOR * self.pool.upstream.connect_timeout
+            timer = self.loop.call_later(patience, self.on_reply_stalled)
         try:
             return await self.reading.of(self.loop.sock_recv_into(self.sock, room))
         finally:
             if timer:
                 timer.cancel()
 
-    def on_answer_silent(self) -> None:
+    def on_reply_stalled(self) -> None:
         """Close on an answer that stopped half way."""
         if not self.closed and not self.has_unread():  # else it has come, and this process was late
             say("node_broken", logging.WARNING, node=self.pool.name, why="an answer stopped half way")
@@ -136,15 +136,15 @@
 
     def handle_replies(self) -> None:
         """Give the whole reply to the attempt that is out."""
-        for reply in self.whole_replies():
+        for reply in self.parse_replies():
             attempt = self.attempt
             if not attempt or not attempt.written:
                 raise ProtocolError("it answered what was not asked")
-            result = self.session.interpret(reply, attempt.is_health_check)
+            result = self.session.parse_reply(reply, attempt.is_health_check)
             self.attempt = None
             attempt.finish(result)
 
-    def ended_behind_answer(self) -> bool:
+    def ended_after_reply(self) -> bool:
         """Tell whether the connection has ended, with all that came used up.
 
         What lies behind an answer must not meet the next attempt, whose client would be served with another's
@@ -163,7 +163,7 @@
     def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
         """No answer to this attempt is wanted any more: close, so that nothing of it goes out or comes."""
         if self.recording and attempt.label:
-            self.abandoned = f"{attempt.label} {outcome.value}"
+            self.abandonment_comment = f"{attempt.label} {outcome.value}"
         self.attempt = None
         self.close()
 
@@ -172,8 +172,8 @@
         if self.closed:
             return
         self.closed = True
-        self.pool.drop(self)
-        self.release(ENDPOINT_SIDE, self.abandoned)
+        self.pool.remove_connection(self)
+        self.release(ENDPOINT_SIDE, self.abandonment_comment)
         attempt = self.attempt
         self.attempt = None
         if attempt:
--- a/gatebank/proxy/upstream/pools.py
+++ b/gatebank/proxy/upstream/pools.py
@@ -15,13 +15,13 @@
 from gatebank.proxy.sockets import Record, opened
 from gatebank.proxy.upstream.attempt import Attempt, EndpointKey
 from gatebank.proxy.upstream.connection import EndpointConnection
-from gatebank.proxy.upstream.pool import REST_S, ConnectionPool
+from gatebank.proxy.upstream.pool import REUSE_DELAY_S, ConnectionPool
 from gatebank.settings import Settings
 
 DEFAULT_BUFFER_BYTES = 1 << 20  # that all receive buffers may grow by together
 DEFAULT_CONNECT_TIMEOUT_S = 1.0  # where the settings have none
 DEFAULT_IDLE_TIMEOUT_S = 10.0  # after which an endpoint closes, where the settings have none
-VALUES_AT_ONCE = 8  # largest values that fit the buffers' memory together
+MAX_VALUES_IN_MEMORY = 8  # largest values that fit the buffers' memory together
 
 
 class Upstream:
@@ -45,15 +45,15 @@
         self.max_connections = max_connections
         self.buffer_budget = Allowance(buffer_bytes)
         # Endpoints give values beyond PROTOCOL's 64 KiB: what memory allows is taken.
-        self.max_value = max(EndpointSession.max_value, buffer_bytes // VALUES_AT_ONCE)
+        self.max_value = max(EndpointSession.max_value, buffer_bytes // MAX_VALUES_IN_MEMORY)
         self.pools: dict[EndpointKey, ConnectionPool] = {}  # emptied as endpoints leave the list
         self.open_count = 0  # with those on their way
         self.peak_count = 0
         self.opened_total = 0  # since the start
-        self.opening: set[asyncio.Task[None]] = set()  # each goes when its connection is up or not
+        self.connect_tasks: set[asyncio.Task[None]] = set()  # each goes when its connection is up or not
         self.connect_timeout = DEFAULT_CONNECT_TIMEOUT_S if connect_timeout is None else connect_timeout
         # Half of the time after which an endpoint closes them at the latest: it may be earlier.
-        self.retire_after = (DEFAULT_IDLE_TIMEOUT_S if idle_timeout is None else idle_timeout) / 2
+        self.max_idle_age = (DEFAULT_IDLE_TIMEOUT_S if idle_timeout is None else idle_timeout) / 2
         self.session = EndpointSession(settings.report_fields)
 
     def send(
@@ -82,7 +82,7 @@
         attempt = Attempt(payload, on_result, is_health_check, label)
         if connection := pool.take_idle():
             if not connection.write(attempt):
-                pool.park(connection)
+                pool.assign_or_park(connection)
         elif self.open_count < self.max_connections or self.close_longest_idle():
             self.open_connection(pool, attempt)
         else:
@@ -91,21 +91,21 @@
 
     def open_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
         """Begin a connection; the attempt waits for it, or for one that becomes idle first."""
-        pool.waiting.append(attempt)
-        pool.connecting += 1
+        pool.waiting_attempts.append(attempt)
+        pool.connecting_count += 1
         self.open_count += 1
         self.opened_total += 1
         self.peak_count = max(self.peak_count, self.open_count)
         task = asyncio.ensure_future(self.connect(pool, attempt))
-        self.opening.add(task)
-        task.add_done_callback(self.opening.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
     def wait_for_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
         """No descriptor is left: wait for one of the pool's connections; where it has none, fail."""
-        if pool.connections or pool.connecting:
-            pool.waiting.append(attempt)
+        if pool.connections or pool.connecting_count:
+            pool.waiting_attempts.append(attempt)
             if pool.idle:
-                self.loop.call_later(REST_S, pool.on_rested)
+                self.loop.call_later(REUSE_DELAY_S, pool.on_reuse_delay_over)
         else:
             say("no_descriptor", logging.WARNING, open=self.open_count)
             attempt.finish(EndpointReply(Outcome.NOT_SENT))
@@ -116,7 +116,7 @@
         """Send a PING; without an answer within ``timeout`` seconds it ends as timed out."""
         attempt = self.send(key, name, lambda: self.session.health_check, on_result, is_health_check=True)
         if not attempt.done:
-            attempt.timer = self.loop.call_later(timeout, attempt.give_up, Outcome.TIMED_OUT)
+            attempt.timer = self.loop.call_later(timeout, attempt.abort, Outcome.TIMED_OUT)
 
     async def connect(self, pool: ConnectionPool, attempt: Attempt) -> None:
         """Open a connection for a pool; where that fails, ``attempt`` fails if it still waits."""
@@ -127,22 +127,22 @@
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.sock_connect(sock, address)
         except BaseException as error:  # also a cancellation: the descriptor is given back in each case
-            pool.connecting -= 1
+            pool.connecting_count -= 1
             self.open_count -= 1
             if sock:
                 sock.close()
             if not isinstance(error, OSError | TimeoutError):
                 raise
-            if attempt in pool.waiting:
-                pool.waiting.remove(attempt)
+            if attempt in pool.waiting_attempts:
+                pool.waiting_attempts.remove(attempt)
                 attempt.finish(EndpointReply(Outcome.NO_CONNECTION))
-            pool.fail_stranded()
+            pool.fail_waiting_without_connection()
             self.remove_if_unused(pool)
         else:
-            pool.connecting -= 1
+            pool.connecting_count -= 1
             connection = EndpointConnection(pool, sock)
             pool.connections.add(connection)
-            pool.park(connection)
+            pool.assign_or_park(connection)
 
     def close_longest_idle(self) -> bool:
         """Close the longest idle connection to make room; False if there is none."""
@@ -161,19 +161,19 @@
 
     def remove_if_unused(self, pool: ConnectionPool) -> None:
         """Drop the pool of an endpoint that is off the list, once nothing of it is left."""
-        if pool.delisted and not pool.connections and not pool.waiting:
+        if pool.delisted and not pool.connections and not pool.waiting_attempts:
             self.pools.pop(pool.key, None)
 
-    def sweep(self) -> None:
+    def close_expired_idle(self) -> None:
         """Close connections that are idle for too long, before the endpoint ends them."""
-        before = time.monotonic() - self.retire_after
+        before = time.monotonic() - self.max_idle_age
         for pool in list(self.pools.values()):
             while pool.idle and pool.idle[0].idle_since < before:
                 pool.idle[0].close()
 
     def close(self) -> None:
         """Give back all connections, also those on their way."""
-        for task in self.opening:
+        for task in self.connect_tasks:
             task.cancel()
         for pool in list(self.pools.values()):
             for connection in list(pool.connections):
--- a/gatebank/recording/redaction.py
+++ b/gatebank/recording/redaction.py
@@ -71,7 +71,7 @@
         if len(shown) > PARAMETERS:
             shown[PARAMETERS] = self.parameters(shown[PARAMETERS])
         shown[BODY:] = map(self.value, shown[BODY:])
-        return resp.command(shown)
+        return resp.encode_command(shown)
 
     def reply(self, reply: resp.Reply) -> bytes:
         """The response as it stands in the file, with its framing."""
@@ -79,7 +79,7 @@
             return self._array(reply.values)
         word = reply.values[0]
         if reply.type_byte == "$":
-            return NULL if word is None else b"".join(resp.bulk(self.value(bytes(word))))
+            return NULL if word is None else b"".join(resp.encode_bulk_string(self.value(bytes(word))))
         return reply.type_byte.encode() + bytes(word or b"") + b"\r\n"
 
     def _array(self, values: list[memoryview | None]) -> bytes:
@@ -89,7 +89,7 @@
             if word is None:
                 parts.append(NULL)
             else:
-                parts += resp.bulk(self.value(bytes(word)) if place == 0 else word)
+                parts += resp.encode_bulk_string(self.value(bytes(word)) if place == 0 else word)
         return b"".join(parts)
 
     def _parameter(self, parameter: bytes) -> bytes:
@@ -128,7 +128,7 @@
         """What stands in the file for these bytes: all messages that are complete with them."""
         if self.is_left_out:
             return b""
-        inbox = resp.Inbox.over(self._rest + data, MAX_MESSAGE_BYTES)
+        inbox = resp.Resp2Buffer.from_bytes(self._rest + data, MAX_MESSAGE_BYTES)
         parts: list[bytes] = []
         try:
             if self._has_commands:
--- a/gatebank/replay/inside.py
+++ b/gatebank/replay/inside.py
@@ -178,4 +178,4 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
-            self._upstream.sweep()
+            self._upstream.close_expired_idle()
--- a/gatebank/replay/sockets.py
+++ b/gatebank/replay/sockets.py
@@ -113,7 +113,7 @@
 
     def send(self, request: ReplayedRequest) -> None:
         """Sends a request behind all others."""
-        data = resp.command(request.arguments)
+        data = resp.encode_command(request.arguments)
         self._requests.append(request)
         self._bytes_added += len(data)
         self.unsent.append(UnsentRequest(request, self._bytes_added))
@@ -180,7 +180,7 @@
             self.close()
 
     async def _read_responses(self) -> None:
-        inbox = resp.Inbox(None, MAX_VALUE_BYTES)
+        inbox = resp.Resp2Buffer(None, MAX_VALUE_BYTES)
         inbox.allowance = resp.Allowance(2 * MAX_VALUE_BYTES)
         while not self._is_closed:
             size = await self._player.loop.sock_recv_into(self._socket, inbox.room())
