--- a/gatebank/proxy/downstream/__init__.py
+++ b/gatebank/proxy/downstream/__init__.py
@@ -1,8 +1,9 @@
-"""Downstream: clients' connections and the order of their answers.
+"""Downstream side: client connections and the order of the replies on them.
 
-`Downstream` owns the listener and a row a connection; a `ClientConnection` owns its socket, buffer and tasks.
-A command becomes a `ClientRequest`, which goes to a `RequestHandler` together with a `PendingReply` that
-takes its final answer. A client is who connects; the account that it names with ``t`` is a tenant.
+`Downstream` owns the listener and all client connections; a `ClientConnection` owns its socket, buffer and
+tasks. Each request command becomes a `ClientRequest`, which is passed to a `RequestHandler` together with the
+`PendingReply` that takes the request's final answer. A client is the process that connects; the account that
+a request names in its field ``t`` is a tenant.
 """
 
 from gatebank.proxy.downstream.connection import ClientConnection
--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection: commands in, answers out in their order, and what time alone brings about."""
+"""A client connection: reads commands, writes replies in command order, and enforces the timeouts."""
 
 from __future__ import annotations
 
@@ -18,32 +18,36 @@
 if TYPE_CHECKING:
     from gatebank.proxy.downstream.listener import Downstream
 
-CLIENT_SIDE = 0  # of a recorded connection: the client opened it
+CLIENT_SIDE = 0  # The client's side in a recording: the side that opened the connection.
 
 
 class ClientConnection(Stream):
-    """A client's connection; `close` gives back all that it owns.
+    """A client connection; `close` releases all resources that the connection owns.
 
     Attributes:
-        replies: One for each command that has no answer yet, as they came; emptied by answers, or by `close`.
-        unwritten: Bytes of answers that the system has not taken yet.
-        since: Loop time at which it came, had its last answer, or could not be read on.
-        command_since: Loop time since when a part of a command is held; 0.0 if none is.
-        bytes_since: Loop time at which the last bytes came.
-        has_spoken: A whole command came.
-        ending: Nothing more is read; `check_clocks` closes.
-        bad_commands: Commands in a row that could not be carried out.
-        waited: Seconds that the last bytes of the commands at hand lay here before they were read; 0.0 if
-            that was no time worth counting.
-        client_has_gone: They lay here, and the client ended the connection behind them.
+        replies: A pending reply for each command without a final answer, in command order; emptied by answers
+            or by `close`.
+        unwritten: Reply bytes that the kernel has not taken yet.
+        timeout_start: Loop time from which the idle and closing timeouts count: the time of the accept, of
+            the last written reply, or of the start of closing.
+        partial_command_since: Loop time since which an incomplete command is in the buffer; 0.0 if there is
+            none.
+        last_bytes_at: Loop time at which bytes were last handled.
+        has_sent_command: Whether a whole command has arrived.
+        closing: Whether reading has ended; `check_clocks` closes the connection.
+        consecutive_bad_commands: Number of consecutive commands that could not be carried out.
+        read_delay: Seconds for which the commands that were read last had waited in the kernel's buffer; 0.0
+            if the wait was shorter than `limits.MIN_COUNTED_WAIT_S`.
+        client_disconnected: Whether the client ended the connection while the commands that were read last
+            waited in the kernel's buffer.
     """
 
     def __init__(self, downstream: Downstream, sock: socket.socket) -> None:
         recording = downstream.record(sock) if downstream.record else None
         self.session = downstream.session
-        inbox = self.session.create_buffer(downstream.buffer_budget)
-        super().__init__(downstream.loop, sock, inbox, recording)
-        self.parse_commands = inbox.commands
+        buffer = self.session.create_buffer(downstream.buffer_budget)
+        super().__init__(downstream.loop, sock, buffer, recording)
+        self.parse_commands = buffer.commands
         self.downstream = downstream
         self.replies: deque[PendingReply] = deque()
         self.unwritten = b""
@@ -55,42 +59,43 @@
         self.consecutive_bad_commands = 0
         self.read_delay = 0.0
         self.client_disconnected = False
-        self.answers_written = asyncio.Event()  # all answers so far are out
+        self.answers_written = asyncio.Event()  # Set when all replies so far are written.
         self.reader = asyncio.ensure_future(self.read())
 
     @property
     def idle(self) -> bool:
-        """No answer is owed and none is on its way."""
+        """Whether no command waits for its answer and all replies are written."""
         return not self.replies and not self.unwritten
 
     def close_would_lose_data(self, now: float) -> bool:
-        """Tell whether a close would lose something of who is idle.
+        """Return whether closing this idle connection would lose data.
 
-        That is what it has asked and was not read, or answers that it is slow to take; not those of a client
-        that takes nothing for long.
+        Such data are commands that were not read yet, and replies that the client is slow to take. Replies
+        to a client that has taken nothing for `limits.WRITE_STALL_TIMEOUT_S` do not count.
         """
         return self.has_unread() or (
             now - self.timeout_start < limits.WRITE_STALL_TIMEOUT_S and unsent(self.sock)
         )
 
-    # Reading.
+    # Reading commands.
 
     async def read(self) -> None:
-        """Read commands until the client ends, breaks off, or says what is no command."""
+        """Read commands until the client disconnects or sends malformed input."""
         try:
             while True:
                 size = await self.reading.of(self.loop.sock_recv_into(self.sock, self.inbox.room()))
                 if not size:
                     self.on_disconnect()
                     break
-                recorded = self.received(size)
-                if self.recording and recorded is not None:
-                    self.recording.asked(recorded)
+                recorded_bytes = self.received(size)
+                if self.recording and recorded_bytes is not None:
+                    self.recording.asked(recorded_bytes)
                 self.measure_read_delay()
-                taken = await self.handle_commands()
-                self.update_partial_command_clocks(taken)
+                command_count = await self.handle_commands()
+                self.update_partial_command_clocks(command_count)
                 self.handling = False
-                if taken != 1:  # more may wait: a read that finds bytes does not let others have their turn
+                # More bytes may be waiting. A read that finds bytes at once does not yield to other tasks.
+                if command_count != 1:
                     await asyncio.sleep(0)
         except ProtocolError as error:
             self.close_with_error(str(error))
@@ -102,39 +107,46 @@
                 self.close()
 
     def measure_read_delay(self) -> None:
-        """Note how long what was read lay here, and whether its client went meanwhile."""
+        """Measure how long the bytes just read had waited, and whether the client disconnected meanwhile."""
         delay = seconds_since_received(self.sock)
         self.read_delay = delay if delay >= limits.MIN_COUNTED_WAIT_S else 0.0
         self.client_disconnected = self.read_delay > 0 and hung_up(self.sock)
 
     async def handle_commands(self) -> int:
-        """Take the whole commands that were read, as fast as their answers go out; returns how many."""
-        taken = 0
+        """Handle the whole commands in the buffer, no faster than replies are written.
+
+        Returns:
+            The number of handled commands.
+        """
+        command_count = 0
         for arguments in self.parse_commands():
             while len(self.replies) >= limits.MAX_PIPELINED or self.unwritten:
                 self.answers_written.clear()
                 await self.answers_written.wait()
             self.handle_command(arguments)
-            taken += 1
-            if (
-                self.consecutive_bad_commands
-            ):  # others come first: the same again costs who sends it, not them
+            command_count += 1
+            # Other clients are served first: repeated bad commands delay their sender alone.
+            if self.consecutive_bad_commands:
                 await asyncio.sleep(limits.BAD_COMMAND_PAUSE_S * self.consecutive_bad_commands)
-        return taken
+        return command_count
 
-    def update_partial_command_clocks(self, taken: int) -> None:
-        """Set the clocks of a command of which only a part has come."""
+    def update_partial_command_clocks(self, command_count: int) -> None:
+        """Update the times that the timeouts of an incomplete command count from.
+
+        Args:
+            command_count: Number of whole commands that the last read completed.
+        """
         self.last_bytes_at = self.loop.time()
         if not self.inbox.held:
             self.partial_command_since = 0.0
-        elif taken or not self.partial_command_since:
+        elif command_count or not self.partial_command_since:
             self.partial_command_since = self.last_bytes_at
 
     def handle_command(self, arguments: list[memoryview]) -> None:
-        """Carry out one command.
+        """Carry out one command, or reply to it with an error.
 
         Raises:
-            ProtocolError: One too many in a row could not be carried out.
+            ProtocolError: Too many consecutive commands could not be carried out.
         """
         self.has_sent_command = True
         self.partial_command_since = 0.0
@@ -150,10 +162,10 @@
                 raise ProtocolError("too many commands without sense") from error
 
     def execute_command(self, arguments: list[memoryview], reply: PendingReply) -> None:
-        """Answer a PING, or hand a request on.
+        """Reply to a PING, or pass a request to the handler.
 
         Raises:
-            CommandError: It is neither, or can't be carried out.
+            CommandError: The command is neither a PING nor a request, or can't be carried out.
         """
         request = self.session.parse_command(arguments)
         if request is None:
@@ -161,20 +173,22 @@
             return
         reply.request_id = request.id
         request.timeout -= self.read_delay
-        is_over = request.timeout <= 0 or self.client_disconnected
+        is_expired = request.timeout <= 0 or self.client_disconnected
         time_left = self.downstream.time_until_sigkill() - limits.SIGKILL_MARGIN_S
-        if is_over or time_left < request.timeout:  # it might meet SIGKILL
-            reply.reject(None)  # it has run nowhere yet
+        # A request whose deadline is too close to SIGKILL might be killed unanswered.
+        if is_expired or time_left < request.timeout:
+            reply.reject(None)  # The request was not sent to any endpoint, so the client may send it again.
         else:
             self.downstream.handler.start_request(request, reply)
 
-    # The end of reading.
+    # End of reading.
 
     def on_disconnect(self) -> None:
-        """The client has closed its connection, or ended its sending on it: TCP does not tell which.
+        """Handle the end of the client's sending: TCP does not tell whether it also stopped reading.
 
-        It has gone (PROTOCOL): nothing more is sent for what is in flight. If it still reads, it has its
-        answers, also those that it has not taken yet: `check_clocks` or `on_written` close behind them.
+        The client counts as gone (PROTOCOL): no further attempts are sent for its requests in flight. A
+        client that still reads gets all its replies, including those that it has not taken yet; afterwards
+        `check_clocks` or `on_written` ends the connection.
         """
         for reply in list(self.replies):
             self.downstream.handler.on_client_disconnect(reply)
@@ -188,16 +202,17 @@
             self.close()
 
     def close_with_error(self, reason: str) -> None:
-        """One error line behind what is in flight; then nothing more is read, and `check_clocks` closes."""
+        """Stop reading and queue an error reply behind those in flight; `check_clocks` closes later."""
         self.downstream.report_protocol_error(reason)
         self.start_closing()
         self.add_pending_reply().fail(reason)
 
     def stop_reading(self) -> None:
-        """Nothing more is read: its client sends again what waits unread.
+        """Stop reading; the client sends unread requests again on another connection.
 
-        The close comes at once, for only a close tells the client: the system resets a connection on which
-        something lies unread. Answers that it is slow to take go out first, and `check_clocks` closes.
+        The connection is closed at once, since only a close informs the client: the kernel resets a
+        connection that has unread bytes. Replies that the client is slow to take are written first; then
+        `check_clocks` closes the connection.
         """
         if not unsent(self.sock):
             self.close()
@@ -208,69 +223,74 @@
             self.sock.shutdown(socket.SHUT_WR)
 
     def start_closing(self) -> None:
-        """Nothing more is read; the clocks of the end run from now."""
+        """Mark that reading has ended, and start the closing timeout."""
         self.closing = True
         self.timeout_start = self.loop.time()
 
-    # Time.
+    # Timeouts.
 
-    def check_clocks(self, now: float, crowded: bool) -> None:
-        """Do what time alone brings about; ``crowded``: more than half the room is taken."""
+    def check_clocks(self, now: float, is_crowded: bool) -> None:
+        """Check this connection's timeouts and act on those that are over.
+
+        Args:
+            now: Loop time.
+            is_crowded: Whether more than half of the allowed connections are open.
+        """
         if (self.handling or self.closing) and self.replies and hung_up(self.sock):
-            self.on_disconnect()  # it is not being read, so that nobody else sees the end
+            self.on_disconnect()  # The connection is not being read, so only this check sees the disconnect.
         elif self.closing:
             self.check_closing(now)
         elif self.partial_command_since:
             self.check_partial_command(now)
         elif self.idle:
-            self.check_idle(now, crowded)
+            self.check_idle(now, is_crowded)
 
     def check_closing(self, now: float) -> None:
-        """Close a connection that ends, once its answers are out or late."""
-        if self.idle:  # so that the error line is read, or the end seen
+        """Close a connection that has ended reading, once its replies are written or overdue."""
+        if self.idle:
+            # The delay lets the client read the error line, or see the end of the connection.
             if now - self.timeout_start >= (
                 limits.CLOSING_TIMEOUT_S if unsent(self.sock) else limits.LINGER_S
             ):
                 self.close()
-        elif (
-            now - self.timeout_start >= limits.CLOSING_TIMEOUT_S
-        ):  # its error line is due: the rest gets its final answer
+        elif now - self.timeout_start >= limits.CLOSING_TIMEOUT_S:
+            # The error line is due, so all requests before it get their final answer now.
             self.timeout_start = now
             replies = list(self.replies)
             for reply in replies:
                 self.downstream.handler.abandon_reply(reply)
-            if not replies:  # it does not take its answers
+            if not replies:  # All replies are given, but the client does not take them.
                 self.close()
 
     def check_partial_command(self, now: float) -> None:
-        """End a connection on which a command stopped half way."""
-        silent = now - self.last_bytes_at >= limits.COMMAND_IDLE_TIMEOUT_S
-        late = silent or now - self.partial_command_since >= limits.COMMAND_TIMEOUT_S
-        if late and not self.has_unread():
+        """Close with an error where the rest of a command does not arrive in time."""
+        is_silent = now - self.last_bytes_at >= limits.COMMAND_IDLE_TIMEOUT_S
+        is_late = is_silent or now - self.partial_command_since >= limits.COMMAND_TIMEOUT_S
+        if is_late and not self.has_unread():
             self.close_with_error("a command stopped half way")
             self.reader.cancel()
 
-    def check_idle(self, now: float, crowded: bool) -> None:
-        """Close a connection that is idle for too long, unless it would lose something."""
+    def check_idle(self, now: float, is_crowded: bool) -> None:
+        """Close a connection that has been idle for too long, unless the close would lose data."""
         if not self.has_sent_command:
             limit = limits.COMMAND_IDLE_TIMEOUT_S
-        elif crowded:
+        elif is_crowded:
             limit = limits.CROWDED_IDLE_TIMEOUT_S
         else:
             limit = limits.IDLE_TIMEOUT_S
         if now - self.timeout_start >= limit and not self.close_would_lose_data(now):
             self.close()
 
-    # Answers.
+    # Replies.
 
     def add_pending_reply(self) -> PendingReply:
-        """A place for the answer to the command that came last."""
+        """Add and return the pending reply of the command that arrived last."""
         reply = PendingReply(self)
         self.replies.append(reply)
         return reply
 
     def flush(self) -> None:
-        """Send the answers whose turn it is."""
+        """Write the replies that are ready, up to the first command without an answer."""
         parts: list[bytes | memoryview] = []
         comments: list[str] = []
         while self.replies and self.replies[0].parts is not None:
@@ -287,7 +307,12 @@
         self.write(parts, comments)
 
     def write(self, parts: list[bytes | memoryview], comments: list[str]) -> None:
-        """Write answers; what the system does not take at once is left to a task."""
+        """Write replies; a task writes the bytes that the kernel does not take at once.
+
+        Args:
+            parts: Encoded replies.
+            comments: Comments on the replies for the recording.
+        """
         size = sum(map(len, parts))
         try:
             sent = self.sock.sendmsg(parts if len(parts) < limits.MAX_WRITE_PARTS else [b"".join(parts)])
@@ -305,7 +330,7 @@
             self.on_written()
 
     def on_written(self) -> None:
-        """All answers so far are out."""
+        """Handle that all replies so far are written."""
         self.timeout_start = self.loop.time()
         self.answers_written.set()
         if self.closing and self.idle:
@@ -314,12 +339,12 @@
         self.downstream.close_if_finished(self)
 
     def keep_unwritten(self, data: bytes) -> None:
-        """Keep bytes that the system has not taken, within the bound that all connections share."""
+        """Keep reply bytes that the kernel has not taken, within the bound that all connections share."""
         self.unwritten += data
         self.downstream.add_unwritten(len(data))
 
     async def write_remaining(self) -> None:
-        """Write what the system did not take at once, as fast as the client reads."""
+        """Write the bytes that the kernel did not take at once, as fast as the client reads."""
         try:
             while self.unwritten:
                 part = self.unwritten[: limits.WRITE_CHUNK_BYTES]
@@ -335,7 +360,7 @@
         self.on_written()
 
     def close(self) -> None:
-        """Give everything back; the clients of what is in flight count as gone."""
+        """Release all resources; the client of the requests in flight counts as gone."""
         if self.closed:
             return
         self.closed = True
--- a/gatebank/proxy/downstream/limits.py
+++ b/gatebank/proxy/downstream/limits.py
@@ -1,48 +1,59 @@
-"""Bounds and times of clients' connections, each with its reason.
+"""Bounds and timeouts of client connections, with the reasons for them.
 
-PROTOCOL allows 3 s for the answer to what is no command, and says when a client may be closed.
+The protocol (PROTOCOL) allows 3 s for the error reply to malformed input, and defines when an instance may
+close a client connection.
 """
 
 from __future__ import annotations
 
-MAX_PIPELINED = 64  # commands of a connection in flight before it is read on
-CHECK_INTERVAL_S = 0.1  # between looks at the clocks below
+# Commands in flight on one connection; the connection is read again when there are fewer.
+MAX_PIPELINED = 64
+CHECK_INTERVAL_S = 0.1  # Interval at which the timeouts below are checked.
 
-# Some clients write slowly, in pieces; 3 s are allowed in all.
-COMMAND_IDLE_TIMEOUT_S = 1.2  # for a first command, and without a byte more of a begun one
-COMMAND_TIMEOUT_S = 2.5  # for the whole of a begun one
+# Some clients write slowly, in pieces. Both timeouts for commands stay below the 3 s that are allowed in all.
+# Timeout for the first command of a connection, and for the next byte of a command that was begun.
+COMMAND_IDLE_TIMEOUT_S = 1.2
+COMMAND_TIMEOUT_S = 2.5  # Timeout for receiving a whole command, from its first byte.
 
-# Time in the system's buffers counts for a client's timeout from here on: the system tells it in steps of
-# some milliseconds.
+# Time that a request spent in the kernel's receive buffer counts against the client's timeout from this
+# duration on: the kernel reports it in steps of some milliseconds.
 MIN_COUNTED_WAIT_S = 0.02
 
-CLOSING_TIMEOUT_S = 1.2  # that what is in flight has, once something behind it could not be read
-LINGER_S = 0.25  # between an error line that ends a connection and its end, so that the line is read
+# Time that requests in flight get to finish after malformed input behind them has ended the reading.
+CLOSING_TIMEOUT_S = 1.2
+# Delay between the error line that ends a connection and the close, so that the client can read the line.
+LINGER_S = 0.25
 
-IDLE_TIMEOUT_S = 60.0  # without an open request
-CROWDED_IDLE_TIMEOUT_S = 2.0  # the same where more than half the room is taken
-FIRST_COMMAND_GRACE_S = 0.1  # in which who came gets to speak, before it makes room for others
+IDLE_TIMEOUT_S = 60.0  # Timeout of a connection without a request in flight.
+# Idle timeout where more than half of the allowed connections are open.
+CROWDED_IDLE_TIMEOUT_S = 2.0
+# Time that a new connection gets to send its first command before it may be closed to make room for others.
+FIRST_COMMAND_GRACE_S = 0.1
 
-BAD_COMMAND_PAUSE_S = 0.1  # more before each next command behind one that can't be carried out
-MAX_BAD_COMMANDS = 8  # in a row; so many end the connection
+# Each further consecutive command that can't be carried out adds this pause before the next command is read.
+BAD_COMMAND_PAUSE_S = 0.1
+MAX_BAD_COMMANDS = 8  # Number of consecutive bad commands that ends the connection.
 
-WRITE_STALL_TIMEOUT_S = 10.0  # without a byte of an answer taken
-WRITE_CHUNK_BYTES = 64 * 1024  # of an answer that waits, written at once
-MAX_WRITE_PARTS = 64  # of one system call: beyond it the parts are joined
+WRITE_STALL_TIMEOUT_S = 10.0  # Timeout of a client that takes no byte of its replies.
+WRITE_CHUNK_BYTES = 64 * 1024  # Size of one write of reply bytes that the kernel did not take at once.
+MAX_WRITE_PARTS = 64  # Buffers passed to one system call; more parts are joined before the call.
 
 LISTEN_BACKLOG = 1024
-ACCEPT_RETRY_S = 0.05  # after a failed accept: descriptors may be free again
-MAKE_ROOM_RETRY_S = 0.01  # between looks for a connection that may make room
-SHUTDOWN_CHECK_INTERVAL_S = 0.02  # between looks for idle connections as the instance leaves
-
-ACCEPT_AFTER_SIGTERM_S = 0.45  # until 0.4 s after it new connections go on coming (PROTOCOL)
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as so long at most, and then
-# KILL_GRACE_S; what comes later than KILL_GRACE_S and is unanswered then is lost (PROTOCOL).
+ACCEPT_RETRY_S = 0.05  # Delay after a failed accept, after which descriptors may be free again.
+MAKE_ROOM_RETRY_S = 0.01  # Interval of the search for a connection that may be closed to make room.
+SHUTDOWN_CHECK_INTERVAL_S = 0.02  # Interval of the search for idle connections during shutdown.
+
+# New connections may arrive until 0.4 s after SIGTERM (PROTOCOL).
+ACCEPT_AFTER_SIGTERM_S = 0.45
+# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as MAX_COUNTED_DEADLINE_S at most,
+# plus SIGKILL_GRACE_S. A request that arrives later than SIGKILL_GRACE_S after SIGTERM and is unanswered at
+# SIGKILL is lost (PROTOCOL).
 MAX_COUNTED_DEADLINE_S = 3.0
 SIGKILL_GRACE_S = 0.7
-SIGKILL_MARGIN_S = (
-    0.15  # before that a deadline lies at the latest: an instance may be held up so long (STANDING)
-)
-STOP_READING_MARGIN_S = 0.5  # before that a connection that was never idle is read no more: twice LINGER_S
+# Minimum time between a request's deadline and SIGKILL: an instance may be held up for so long (STANDING).
+SIGKILL_MARGIN_S = 0.15
+# From this long before SIGKILL, a connection that was never idle is not read any more: twice LINGER_S.
+STOP_READING_MARGIN_S = 0.5
 
-PROTOCOL_ERROR_LOG_INTERVAL_S = 1.0  # between log lines on what is no command: a flood would fill the log
+# Minimum interval between log lines about malformed input: a flood of it would fill the log.
+PROTOCOL_ERROR_LOG_INTERVAL_S = 1.0
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -1,4 +1,4 @@
-"""The downstream side as a whole: listener, admission of connections, overload, graceful shutdown."""
+"""Listener and set of client connections: admission, overload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
 
 
 class Downstream:
-    """Owns the listener and all clients' connections.
+    """Owns the listener and all client connections.
 
     Args:
-        settings: Names of request classes and tenants, and the classes' deadlines.
-        handler: Takes the requests.
-        max_connections: Descriptors that clients' connections may take.
-        bounds: Bytes that answers not taken, and receive buffers, may take.
+        settings: Settings with the names of request classes and tenants, and the classes' deadlines.
+        handler: Handler that takes the requests.
+        max_connections: Number of descriptors that client connections may use.
+        bounds: Memory bounds of unwritten replies and of receive buffers.
 
     Attributes:
-        connections: The longest unused first; each goes with `ClientConnection.close`.
-        unwritten_bytes: Of answers that clients have not taken.
-        leaving: Connections end as they become idle.
-        terminated_at: Loop time of SIGTERM.
-        broken_count: Connections that sent what is no command, since the start.
+        connections: Open connections, the least recently used first; `ClientConnection.close` removes them.
+        unwritten_bytes: Bytes of replies that clients have not taken.
+        peak_count: Highest number of connections that were open at the same time.
+        shutting_down: Whether connections are closed as they become idle.
+        terminated_at: Loop time of SIGTERM; None before it.
+        protocol_error_count: Number of connections that sent malformed input, since the start.
     """
 
-    record: Record | None = None  # begins the recording of a connection
+    record: Record | None = None  # Begins the recording of a new connection; None where nothing is recorded.
 
     def __init__(
         self, settings: Settings, handler: RequestHandler, max_connections: int, bounds: Bounds
@@ -52,20 +53,20 @@
         self.peak_count = 0
         self.shutting_down = False
         self.terminated_at: float | None = None
-        self.sigkill_delay = limits.SIGKILL_GRACE_S + longest_deadline(settings)  # s after SIGTERM
+        self.sigkill_delay = limits.SIGKILL_GRACE_S + longest_deadline(settings)  # Seconds after SIGTERM.
         self.pending_accept = Pending()
-        self.accept_task: asyncio.Task[None] | None = None  # the task that accepts
+        self.accept_task: asyncio.Task[None] | None = None  # The task that runs `accept`.
         self.protocol_error_count = 0
         self.protocol_error_logged_at = -limits.PROTOCOL_ERROR_LOG_INTERVAL_S
         self.listener: socket.socket | None = None
 
-    # Connections in.
+    # Accepting connections.
 
     def listen(self, address: Address) -> None:
         """Open the listener.
 
         Raises:
-            OSError: The address can't be listened on.
+            OSError: Listening on the address failed.
         """
         self.listener = opened(address)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -73,7 +74,7 @@
         self.listener.listen(limits.LISTEN_BACKLOG)
 
     async def accept(self) -> None:
-        """Accept connections while there is a listener; beyond the bound they wait in the backlog."""
+        """Accept connections while the listener is open; beyond the bound they wait in the backlog."""
         self.accept_task = asyncio.current_task()
         while self.listener:
             try:
@@ -85,14 +86,18 @@
             await self.wait_for_room(self.add_connection(sock))
 
     async def wait_for_room(self, newest: ClientConnection) -> None:
-        """Return once the bound is kept, by closing others; the next wait in the backlog until then."""
+        """Close connections until the bound is met; meanwhile, new ones wait in the backlog.
+
+        Args:
+            newest: The connection accepted last, which is not closed.
+        """
         while True:
             if len(self.connections) <= self.max_connections or self.make_room(newest):
                 return
             await asyncio.sleep(limits.MAKE_ROOM_RETRY_S)
 
     def add_connection(self, sock: socket.socket) -> ClientConnection:
-        """Begin a connection that has been accepted."""
+        """Add a connection for a socket that has been accepted."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, sock)
@@ -101,28 +106,33 @@
         return connection
 
     def mark_used(self, connection: ClientConnection) -> None:
-        """A command came on it: it is the last used now."""
+        """Mark a connection as the most recently used, as a command arrived on it."""
         self.connections[connection] = self.connections.pop(connection, None)
 
     # Overload.
 
     async def check_clocks(self) -> None:
-        """Let connections do what time alone brings about, for ever."""
+        """Check all connections' timeouts periodically; runs until the task is cancelled."""
         while True:
             await asyncio.sleep(limits.CHECK_INTERVAL_S)
             now = self.loop.time()
-            crowded = 2 * len(self.connections) > self.max_connections
+            is_crowded = 2 * len(self.connections) > self.max_connections
             for connection in list(self.connections):
-                connection.check_clocks(now, crowded)
+                connection.check_clocks(now, is_crowded)
             self.close_surplus_idle()
 
     def close_surplus_idle(self) -> None:
-        """Close the longest unused of idle connections beyond a third of ours, a sixth of all descriptors.
+        """Close the least recently used idle connections beyond a third of the allowed number.
 
-        Clients may hold a third of the descriptors for what they ask, and some keep for good what they asked
-        once with: so others still find a connection.
+        This third is a sixth of all descriptors. Clients may use a third of the descriptors for their
+        requests, and some keep a connection open for good after one request; the bound lets others still
+        connect.
         """
-        idle = [each for each in self.connections if each.idle and each.has_sent_command and not each.closing]
+        idle = [
+            connection
+            for connection in self.connections
+            if connection.idle and connection.has_sent_command and not connection.closing
+        ]
         for connection in idle[: max(0, len(idle) - self.max_connections // 3)]:
             if not connection.partial_command_since and not connection.close_would_lose_data(
                 self.loop.time()
@@ -130,53 +140,66 @@
                 connection.close()
 
     def make_room(self, newest: ClientConnection | None) -> bool:
-        """Close one connection; False if none may go, and never the newest.
+        """Close one idle connection other than the newest, to make room for another.
+
+        The first candidates are connections whose reading has ended and those that had time to send a command
+        and did not, as clients that only connect must not displace ordinary ones. Next come the other idle
+        connections, the least recently used first.
 
-        First who can't be read or has had time to speak and did not, as those that only connect must not take
-        the place of the usual ones; then the longest idle.
+        Returns:
+            False if no connection may be closed.
         """
         now = self.loop.time()
-        idle = [each for each in self.connections if each.idle and each is not newest]
-        silent = [
-            each for each in idle if each.closing or (not each.has_sent_command and is_past_grace(each, now))
+        idle = [connection for connection in self.connections if connection.idle and connection is not newest]
+        unused = [
+            connection
+            for connection in idle
+            if connection.closing or (not connection.has_sent_command and is_past_grace(connection, now))
         ]
-        spoken = [each for each in idle if each.has_sent_command and not each.closing]
-        candidates = silent + spoken
-        found = next(
-            (each for each in candidates if each.closing or not each.close_would_lose_data(now)), None
+        used = [connection for connection in idle if connection.has_sent_command and not connection.closing]
+        candidates = unused + used
+        chosen = next(
+            (
+                connection
+                for connection in candidates
+                if connection.closing or not connection.close_would_lose_data(now)
+            ),
+            None,
         )
-        if found:
-            found.close()
-        return found is not None
+        if chosen:
+            chosen.close()
+        return chosen is not None
 
     def add_unwritten(self, size: int) -> None:
-        """Count bytes of answers not taken; beyond the bound, who takes least of its answers is closed."""
+        """Count unwritten reply bytes; beyond the bound, close the connection with the most of them."""
         self.unwritten_bytes += size
         if self.unwritten_bytes > self.max_unwritten_bytes:
-            worst = max(self.connections, key=lambda connection: len(connection.unwritten))
-            say("client_cut", logging.WARNING, why="too many bytes owed", owed=self.unwritten_bytes)
-            self.close_soon(worst)
+            largest = max(self.connections, key=lambda connection: len(connection.unwritten))
+            say(
+                "client_cut", logging.WARNING, why="too many unwritten reply bytes", owed=self.unwritten_bytes
+            )
+            self.close_soon(largest)
 
     def report_protocol_error(self, reason: str) -> None:
-        """Count who sent what is no command, and log some of them."""
+        """Count a connection that sent malformed input, and log it unless another was logged just before."""
         self.protocol_error_count += 1
         if self.loop.time() >= self.protocol_error_logged_at + limits.PROTOCOL_ERROR_LOG_INTERVAL_S:
             self.protocol_error_logged_at = self.loop.time()
             say("client_broken", logging.WARNING, why=reason, so_far=self.protocol_error_count)
 
     def close_soon(self, connection: ClientConnection) -> None:
-        """Close it, but not amid what is being done to it."""
+        """Close a connection in the next turn of the loop, not while the caller still works on it."""
         self.loop.call_soon(connection.close)
 
     def remove_connection(self, connection: ClientConnection) -> None:
-        """A connection closes: neither it nor its bytes count any more."""
+        """Remove a connection that closes, and its unwritten bytes, from the totals."""
         self.connections.pop(connection, None)
         self.unwritten_bytes -= len(connection.unwritten)
 
     # Graceful shutdown.
 
     def close_if_finished(self, connection: ClientConnection) -> None:
-        """An answer is out: while this instance leaves, a connection ends when it is idle."""
+        """During shutdown, close a connection that is idle, or stop reading it shortly before SIGKILL."""
         if not self.shutting_down or not connection.idle or connection.closing:
             return
         now = self.loop.time()
@@ -189,13 +212,13 @@
             connection.stop_reading()
 
     def time_until_sigkill(self) -> float:
-        """Seconds until SIGKILL may come; no end is in sight before SIGTERM."""
+        """Return the seconds until SIGKILL may come; infinity before SIGTERM."""
         if self.terminated_at is None:
             return inf
         return self.terminated_at + self.sigkill_delay - self.loop.time()
 
     async def shut_down(self) -> None:
-        """SIGTERM: serve on until nobody sends anew, then close each connection as it becomes idle."""
+        """Shut down after SIGTERM: accept while new clients may connect, then close idle connections."""
         self.terminated_at = self.loop.time()
         await asyncio.sleep(limits.ACCEPT_AFTER_SIGTERM_S)
         await self.stop_listening()
@@ -206,11 +229,11 @@
             await asyncio.sleep(limits.SHUTDOWN_CHECK_INTERVAL_S)
 
     async def stop_listening(self) -> None:
-        """Close the listener; what the machine has accepted, this instance takes.
+        """Close the listener after taking the connections that the kernel has already accepted.
 
-        The task that accepts ends first, as the socket stays open for as long as the loop waits for it,
-        unless it has a connection that it did not see yet. Where descriptors are short, room is made, or
-        waited for.
+        The accepting task is cancelled first, because the socket stays open for as long as the loop waits on
+        it. The task goes on if its accept has completed and the task has not seen the new connection yet.
+        Where descriptors are short, this method closes idle connections or waits for descriptors.
         """
         listener = self.listener
         self.listener = None
@@ -218,21 +241,21 @@
             return
         if self.accept_task and not self.pending_accept.done:
             self.accept_task.cancel()
-        until = self.loop.time() + limits.COMMAND_IDLE_TIMEOUT_S
-        while self.loop.time() < until:
+        give_up_at = self.loop.time() + limits.COMMAND_IDLE_TIMEOUT_S
+        while self.loop.time() < give_up_at:
             try:
                 self.add_connection(listener.accept()[0])
             except BlockingIOError:
                 break
             except ConnectionAbortedError:
                 continue
-            except OSError:  # no descriptor
+            except OSError:  # No descriptor is free.
                 if not self.make_room(None):
                     await asyncio.sleep(limits.MAKE_ROOM_RETRY_S)
         listener.close()
 
     def close(self) -> None:
-        """Give back the listener and all connections."""
+        """Close the listener and all connections."""
         if self.accept_task:
             self.accept_task.cancel()
         if self.listener:
@@ -243,12 +266,12 @@
 
 
 def is_past_grace(connection: ClientConnection, now: float) -> bool:
-    """Who came has had its time to speak."""
+    """Return whether the time for a new connection's first command is over."""
     return now - connection.timeout_start >= limits.FIRST_COMMAND_GRACE_S
 
 
 def longest_deadline(settings: Settings) -> float:
-    """The longest of the classes' deadlines in seconds, counted as MAX_COUNTED_DEADLINE_S at most."""
+    """Return the longest deadline of the request classes in seconds, at most MAX_COUNTED_DEADLINE_S."""
     longest = limits.MAX_COUNTED_DEADLINE_S
     deadlines = [
         longest if request_class.deadline is None else min(longest, request_class.deadline)
--- a/gatebank/proxy/downstream/replies.py
+++ b/gatebank/proxy/downstream/replies.py
@@ -1,4 +1,4 @@
-"""Final answers to clients, in the order of their commands."""
+"""Final answers to clients, delivered in the order of their commands."""
 
 from __future__ import annotations
 
@@ -13,51 +13,62 @@
 
 
 class ReplySink(Protocol):
-    """Takes the one final answer to a request, wherever that came from.
+    """Takes the one final answer to a request, whatever the request's origin.
 
     Attributes:
-        request: The request while it is in flight, set and cleared by the handler.
+        request: The request while it is in flight; the handler sets and clears this attribute.
     """
 
     request: RequestInFlight | None
 
     def serve(self, value: memoryview) -> None:
-        """Answer with an endpoint's value, good during this call."""
+        """Answer with an endpoint's value, which is valid only during this call."""
 
     def reject(self, retry_after: float | None) -> None:
-        """Answer that trying again is harmless, best after so many seconds."""
+        """Answer that the request may safely be sent again.
+
+        Args:
+            retry_after: Recommended delay before that in seconds; None for no recommendation.
+        """
 
     def fail(self, reason: str) -> None:
-        """Answer with an error that promises nothing."""
+        """Answer with an error, without saying whether the request was executed."""
 
 
 class RequestHandler(Protocol):
-    """What the dispatcher offers to whoever brings requests."""
+    """The dispatcher's interface for the sources of requests."""
 
     def start_request(self, client_request: ClientRequest, reply: ReplySink) -> None:
-        """Take a request on; its final answer goes to ``reply``.
+        """Start a request whose final answer goes to ``reply``.
 
         Raises:
-            CommandError: It can't be carried out, and nothing is owed for it.
+            CommandError: The request can't be carried out, and ``reply`` gets no answer from the handler.
         """
 
     def on_client_disconnect(self, reply: ReplySink) -> None:
-        """The client has gone: nobody reads the answer."""
+        """Handle that the client has disconnected and does not read the answer."""
 
     def abandon_reply(self, reply: ReplySink) -> None:
-        """The connection must end: the final answer is due now."""
+        """Give the final answer now, as the client's connection must end."""
 
 
 class PendingReply:
-    """The place of one answer among those of its connection."""
+    """The reply to one command, in its place among the replies of the connection.
+
+    Attributes:
+        connection: The client connection that the command arrived on.
+        request: The request while it is in flight; maintained by the dispatcher.
+        request_id: The request's id for the recording; None where the command is no request.
+        parts: The encoded reply; None until the answer is given.
+    """
 
     __slots__ = ("connection", "parts", "request", "request_id")
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
-        self.request: RequestInFlight | None = None  # the dispatcher's own
-        self.request_id: bytes | None = None  # for a recording
-        self.parts: Sequence[bytes | memoryview] | None = None  # the answer, once there is one
+        self.request: RequestInFlight | None = None
+        self.request_id: bytes | None = None
+        self.parts: Sequence[bytes | memoryview] | None = None
 
     def serve(self, value: memoryview) -> None:
         """See `ReplySink`."""
@@ -72,8 +83,8 @@
         self.send(self.connection.session.encode_failure(reason))
 
     def send(self, parts: Sequence[bytes | memoryview]) -> None:
-        """Send the answer when its turn has come; until then it is kept, and copied, as its buffer is not."""
-        first = bool(self.connection.replies) and self.connection.replies[0] is self
-        self.parts = parts if first else [bytes(part) for part in parts]
-        if first:
+        """Write the reply if all earlier ones are written; otherwise keep a copy, as its buffer is reused."""
+        is_first = bool(self.connection.replies) and self.connection.replies[0] is self
+        self.parts = parts if is_first else [bytes(part) for part in parts]
+        if is_first:
             self.connection.flush()
