--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -165,7 +165,7 @@
         """Reply to a PING, or pass a request to the handler.
 
         Raises:
-            CommandError: The command is neither a PING nor a request, or can't be carried out.
+            CommandError: The command is neither a PING nor a request, or cannot be carried out.
         """
         request = self.session.parse_command(arguments)
         if request is None:
--- a/gatebank/proxy/downstream/limits.py
+++ b/gatebank/proxy/downstream/limits.py
@@ -30,7 +30,7 @@
 # Time that a new connection gets to send its first command before it may be closed to make room for others.
 FIRST_COMMAND_GRACE_S = 0.1
 
-# Each further consecutive command that can't be carried out adds this pause before the next command is read.
+# Each further consecutive command that cannot be carried out adds this pause before the next command is read.
 BAD_COMMAND_PAUSE_S = 0.1
 MAX_BAD_COMMANDS = 8  # Number of consecutive bad commands that ends the connection.
 
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -204,9 +204,8 @@
             return
         now = self.loop.time()
         if not connection.partial_command_since and not connection.close_would_lose_data(now):
-            if connection.has_sent_command or is_past_grace(
-                connection, now
-            ):  # who just came may be about to speak
+            # A client that has just connected may be about to send its first command.
+            if connection.has_sent_command or is_past_grace(connection, now):
                 connection.close()
         elif self.time_until_sigkill() < limits.STOP_READING_MARGIN_S and not connection.is_being_read():
             connection.stop_reading()
--- a/gatebank/proxy/downstream/replies.py
+++ b/gatebank/proxy/downstream/replies.py
@@ -42,7 +42,7 @@
         """Start a request whose final answer goes to ``reply``.
 
         Raises:
-            CommandError: The request can't be carried out, and ``reply`` gets no answer from the handler.
+            CommandError: The request cannot be carried out, and ``reply`` gets no answer from the handler.
         """
 
     def on_client_disconnect(self, reply: ReplySink) -> None:
--- a/gatebank/proxy/resp2/commands.py
+++ b/gatebank/proxy/resp2/commands.py
@@ -1,7 +1,7 @@
-"""The command of a client as a `ClientRequest`.
+"""Parsing of a client's command into a `ClientRequest`.
 
-A command is checked against the form that PROTOCOL gives, since an endpoint closes on what it can't use, or
-rejects it, and neither the endpoint nor its build would be at fault.
+A command is checked against the form that PROTOCOL defines: an endpoint rejects a malformed command or closes
+the connection, which would wrongly count as a fault of the endpoint and its build.
 """
 
 from __future__ import annotations
@@ -15,27 +15,34 @@
 from gatebank.proxy.messages import ClientRequest, CommandError, RequestClassRef
 from gatebank.proxy.resp2 import codec
 
-# Names that have a meaning here: request class, tenant, deadline, idempotency key, client retry, cost hint.
+# Fields that this proxy evaluates: request class, tenant, timeout, idempotency key, client retry, cost hint.
 KNOWN_FIELDS = frozenset(("c", "t", "d", "k", "r", "h"))
-MAX_TIMEOUT_MS = 3_600_000  # beyond an hour nobody waits for an answer
-MAX_COMMAND_NAME_BYTES = 16  # of a command's name that are looked at
-KEY_HASH_BYTES = 6  # of a routing key: what balancer and peers compare
+MAX_TIMEOUT_MS = 3_600_000  # No client waits for an answer for more than an hour.
+MAX_COMMAND_NAME_BYTES = 16  # Bytes of a command's name that are compared.
+KEY_HASH_BYTES = 6  # Size of a routing key's hash, which balancer and peers compare.
 
 
 class CommandForm(NamedTuple):
-    """A command's name and its number of arguments, the name included."""
+    """A command's name and its number of arguments, including the name."""
 
     name: bytes
     argument_count: int
 
 
-FORM_IDEMPOTENT = CommandForm(b"Q.ASK", 4)  # names and values, and no body
-FORM_OTHER = CommandForm(b"Q.DO", 5)
+FORM_IDEMPOTENT = CommandForm(b"Q.ASK", 4)  # The command name, key, id and fields; no body.
+FORM_OTHER = CommandForm(b"Q.DO", 5)  # The command name, key, id, fields and body.
 REQUEST_COMMANDS = (FORM_IDEMPOTENT.name, FORM_OTHER.name)
 
 
 class CommandParts(NamedTuple):
-    """A command as it goes to endpoints, but for the figure of ``d``, which is this instance's."""
+    """A command as it is sent to endpoints, split around the value of its timeout field ``d``.
+
+    Attributes:
+        head: The encoded command up to the fields.
+        before_timeout: The fields' text up to ``d=``, not encoded.
+        after_timeout: The fields' text behind the value of ``d``, not encoded.
+        body: The encoded arguments behind the fields.
+    """
 
     head: bytes
     before_timeout: bytes
@@ -45,12 +52,12 @@
 
 @dataclass(slots=True)
 class Resp2Request(ClientRequest):
-    """A request that goes to endpoints as it came, but for the figure of ``d``."""
+    """A request that is sent to endpoints as it was received, except for the value of ``d``."""
 
     parts: CommandParts
 
     def command(self, timeout: float) -> bytes:
-        r"""Encode it for an endpoint that has ``timeout`` seconds for it.
+        r"""Encode the request for an endpoint that has ``timeout`` seconds to answer.
 
         >>> arguments = (b"Q.DO", b"k", b"id", b"z=\xff,d=480,c=pay,z=1", b"body")
         >>> classes = {"pay": RequestClassRef(0, RetrySafety.NON_IDEMPOTENT)}
@@ -58,26 +65,28 @@
         b'$19\r\nz=\xff,d=250,c=pay,z=1\r\n$4\r\nbody\r\n'
         """
         head, before, after, body = self.parts
-        names = b"%b%d%b" % (before, max(1, int(timeout * 1000)), after)
-        return b"".join((head, *codec.encode_bulk_string(names), body))
+        fields = b"%b%d%b" % (before, max(1, int(timeout * 1000)), after)
+        return b"".join((head, *codec.encode_bulk_string(fields), body))
 
 
 def parse_request(
     arguments: Sequence[memoryview], classes: Mapping[str, RequestClassRef], tenants: Mapping[str, int]
 ) -> Resp2Request:
-    """Read a request's command.
+    """Parse the command of a request.
 
     Args:
-        arguments: The command's strings, its name first; slices that need not outlive this call.
+        arguments: The command's strings, its name first; slices that are valid during this call.
         classes: Request classes by name.
-        tenants: Indices of tenants by name; empty where the settings have none.
+        tenants: Indices of tenants by name; empty where the settings have no tenants.
 
     Raises:
-        CommandError: The command does not have PROTOCOL's form.
+        CommandError: The command does not have the form that PROTOCOL defines.
     """
     if len(arguments) < 4 or not arguments[1] or not arguments[2]:
         raise CommandError("a command needs a key, an id and names and values")
-    texts = bytes(arguments[3]).decode("utf-8", "surrogateescape").split(",")  # unknown names pass unchanged
+    texts = (
+        bytes(arguments[3]).decode("utf-8", "surrogateescape").split(",")
+    )  # Unknown fields pass unchanged.
     pairs = [text.partition("=")[::2] for text in texts]
     values = dict(pairs)
     if sum(name in KNOWN_FIELDS for name, _ in pairs) > len(KNOWN_FIELDS & values.keys()):
@@ -87,8 +96,8 @@
     if not timeout_ms or timeout_ms > MAX_TIMEOUT_MS:
         raise CommandError("d is no time")
     cost_hint_us = parse_positive_number(values.get("h"))
-    at = next(index for index, (name, _) in enumerate(pairs) if name == "d")
-    parts = split_at_timeout(arguments, texts, at)
+    timeout_index = next(index for index, (name, _) in enumerate(pairs) if name == "d")
+    parts = split_at_timeout(arguments, texts, timeout_index)
     return Resp2Request(
         id=bytes(arguments[2]),
         request_class=request_class.class_index,
@@ -108,7 +117,12 @@
     classes: Mapping[str, RequestClassRef],
     tenants: Mapping[str, int],
 ) -> RequestClassRef:
-    """The command's request class, if tenant, command and idempotency key fit it."""
+    """Return the command's request class.
+
+    Raises:
+        CommandError: The class or the tenant is unknown, or the command's form or its idempotency key does
+            not suit the class.
+    """
     request_class = classes.get(values.get("c", ""))
     if request_class is None or "c" not in values:
         raise CommandError("no such workload")
@@ -123,14 +137,16 @@
 
 
 def command_name(arguments: Sequence[memoryview]) -> bytes:
-    """The command's name, which may be written in small letters."""
+    """Return the command's name in upper case; clients may write the name in lower case."""
     return bytes(arguments[0][:MAX_COMMAND_NAME_BYTES]).upper()
 
 
-def split_at_timeout(arguments: Sequence[memoryview], texts: Sequence[str], at: int) -> CommandParts:
-    """Copy a command round the figure of ``d``, the pair at index ``at``."""
-    before = ",".join([*texts[:at], "d="])
-    after = ",".join(["", *texts[at + 1 :]])
+def split_at_timeout(
+    arguments: Sequence[memoryview], texts: Sequence[str], timeout_index: int
+) -> CommandParts:
+    """Copy a command in parts around the value of ``d``, the field at ``timeout_index``."""
+    before = ",".join([*texts[:timeout_index], "d="])
+    after = ",".join(["", *texts[timeout_index + 1 :]])
     return CommandParts(
         b"*%d\r\n" % len(arguments) + codec.encode_bulk_strings(arguments[:3]),
         before.encode("utf-8", "surrogateescape"),
@@ -140,15 +156,22 @@
 
 
 def parse_positive_number(text: str | None) -> float | None:
-    r"""Plain digits, with a fraction perhaps; None for nothing, zero and all else that a language may take.
+    r"""Parse plain digits with an optional fraction.
+
+    Returns:
+        The number; None for no text, zero, and every other notation that `float` accepts.
 
     >>> parse_positive_number("480"), parse_positive_number("0.5"), parse_positive_number("0")
     (480.0, 0.5, None)
-    >>> noise = ("nan", "-1", "1_0", " 1", "1e5", "\u0661", "", None)
-    >>> [text for text in noise if parse_positive_number(text) is not None]
+    >>> refused = ("nan", "-1", "1_0", " 1", "1e5", "\u0661", "", None)
+    >>> [text for text in refused if parse_positive_number(text) is not None]
     []
     """
-    whole, _, fraction = (text or "").partition(".")
-    if not (whole + fraction).isascii() or not whole.isdigit() or not (fraction.isdigit() or whole == text):
+    integer, _, fraction = (text or "").partition(".")
+    if (
+        not (integer + fraction).isascii()
+        or not integer.isdigit()
+        or not (fraction.isdigit() or integer == text)
+    ):
         return None
     return float(text or 0) or None
--- a/gatebank/proxy/resp2/session.py
+++ b/gatebank/proxy/resp2/session.py
@@ -1,4 +1,4 @@
-"""RESP2 as connections use it: what a client or an endpoint said, and the bytes to say."""
+"""RESP2 as connections use it: parses received messages and encodes the messages to send."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     parse_health_reply,
 )
 
-Parts = Sequence[bytes | memoryview]  # of an answer, to be written one behind the other
+Parts = Sequence[bytes | memoryview]  # An encoded reply in pieces that are written one after the other.
 
 
 class ClientSession:
-    """What clients say and are told; it has no state of one connection, so that all share one.
+    """The protocol with clients; all client connections share one session, as it has no state.
 
     Args:
         classes: Request classes by name.
-        tenants: Indices of tenants by name; empty where the settings have none.
+        tenants: Indices of tenants by name; empty where the settings have no tenants.
     """
 
     pong: Parts = (b"+PONG\r\n",)
@@ -32,14 +32,14 @@
         self.tenants = tenants
 
     def create_buffer(self, budget: Allowance) -> codec.Resp2Buffer:
-        """The buffer of a new connection."""
+        """Create the buffer of a new connection."""
         return codec.Resp2Buffer(budget)
 
     def parse_command(self, arguments: Sequence[memoryview]) -> ClientRequest | None:
-        """The request that a command is; None for a PING.
+        """Parse a command into a request; None for a PING.
 
         Raises:
-            CommandError: It is neither, or does not have PROTOCOL's form.
+            CommandError: The command is unknown or does not have the form that PROTOCOL defines.
         """
         name = command_name(arguments)
         if name == b"PING":
@@ -49,47 +49,47 @@
         raise CommandError("unknown command")
 
     def encode_value(self, value: memoryview) -> Parts:
-        """The answer with an endpoint's value, which is not copied."""
+        """Encode the answer with an endpoint's value, which is not copied."""
         return codec.encode_bulk_string(value)
 
     def encode_rejection(self, retry_after: float | None) -> Parts:
-        """The answer that trying again is harmless, best after so many seconds."""
+        """Encode the answer that the request may safely be sent again, best after ``retry_after`` seconds."""
         return (b"-BUSY %d\r\n" % (retry_after * 1000) if retry_after else b"-BUSY\r\n",)
 
     def encode_failure(self, reason: str) -> Parts:
-        """The answer that promises nothing."""
+        """Encode the error answer, which does not say whether the request was executed."""
         return (f"-ERR {reason}\r\n".encode(),)
 
     def classify_answer(self, answer: Parts) -> str:
-        """How a request ended, by its answer; recordings use these words."""
-        first = answer[0]
-        if first[:1] == b"$":
+        """Return how a request ended according to its answer, in the words that recordings use."""
+        first_part = answer[0]
+        if first_part[:1] == b"$":
             return "satisfied"
-        return "rejected" if first[:5] == b"-BUSY" else "broken off"
+        return "rejected" if first_part[:5] == b"-BUSY" else "broken off"
 
 
 class EndpointSession:
-    """What endpoints are asked and answer; it has no state of one connection, so that all share one.
+    """The protocol with endpoints; all connections to endpoints share one session, as it has no state.
 
     Args:
-        report_fields: Of a load report, by the settings' names.
+        report_fields: Fields of a load report by the settings' names.
     """
 
     health_check = codec.encode_command([b"PING"])
-    max_value = codec.MAX_VALUE_BYTES  # bytes that PROTOCOL allows an answer
+    max_value = codec.MAX_VALUE_BYTES  # Maximum size of a value that PROTOCOL allows.
 
     def __init__(self, report_fields: Sequence[str]) -> None:
         self.report_fields = [REPORT_FIELD_NAMES.get(name, name) for name in report_fields]
 
     def create_buffer(self, budget: Allowance, max_value: int) -> codec.Resp2Buffer:
-        """The buffer of a new connection, for values of so many bytes at most."""
+        """Create the buffer of a new connection, for values of at most ``max_value`` bytes."""
         return codec.Resp2Buffer(budget, max_value)
 
     def parse_reply(self, reply: codec.Reply, is_health_check: bool) -> EndpointReply:
-        """What a reply to an attempt or to a health check means.
+        """Parse the reply to an attempt or to a health check.
 
         Raises:
-            ProtocolError: No reply to an attempt has this form.
+            ProtocolError: The reply does not have the form of a reply to an attempt.
         """
         if is_health_check:
             return parse_health_reply(reply)
--- a/gatebank/proxy/upstream/__init__.py
+++ b/gatebank/proxy/upstream/__init__.py
@@ -1,7 +1,7 @@
-"""Upstream: connections to endpoints, the attempts and health checks on them.
+"""Upstream side: connections to endpoints, and the attempts and health checks on them.
 
-`Upstream` owns a `ConnectionPool` for each endpoint process; a pool owns its connections. Nothing is ever
-sent again here: each retry is a decision of the balancer.
+`Upstream` owns a `ConnectionPool` for each endpoint process; a pool owns its connections. This package never
+sends an attempt again: each retry is a decision of the balancer.
 """
 
 from gatebank.proxy.messages import EndpointReply
--- a/gatebank/proxy/upstream/attempt.py
+++ b/gatebank/proxy/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request, or one health check, on its way to an endpoint."""
+"""An attempt of a request, or a health check, at an endpoint."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 
 class EndpointKey(NamedTuple):
-    """One process of an endpoint: another one under the same name has connections of its own.
+    """Identifies one process of an endpoint; another process of the same name has its own connections.
 
     Attributes:
         endpoint: The endpoint's index in the registry.
-        started_at: Unix time in seconds at which the process started; None if the list does not say.
+        address: The address that the process listens on.
+        build: Number of the build that the process runs.
+        started_at: Unix time in seconds at which the process started; None if the endpoint list does not say.
     """
 
     endpoint: int
@@ -32,10 +34,17 @@
     """An attempt or a health check. Invariant: ``on_result`` is called exactly once.
 
     Args:
-        payload: Gives the bytes at the moment of writing; None if they are no longer wanted.
-        on_result: Takes the one result.
-        is_health_check: It is a PING, whose answer is no answer to a request.
-        label: For a recording: which attempt of which request.
+        payload: Returns the bytes to send when they can be written; None if the attempt must not be sent any
+            more.
+        on_result: Callback that takes the one result.
+        is_health_check: Whether this is a health check (a PING), not an attempt of a request.
+        label: Comment for a recording that names the request and the attempt.
+
+    Attributes:
+        connection: The connection that the attempt was written to; None while it waits for a connection.
+        timer: Timer of the attempt's own time limit; cancelled when the attempt finishes.
+        done: Whether the result was reported.
+        written: Whether the last byte is written, or its write has begun.
     """
 
     __slots__ = ("connection", "done", "is_health_check", "label", "on_result", "payload", "timer", "written")
@@ -52,12 +61,12 @@
         self.is_health_check = is_health_check
         self.label = label
         self.connection: EndpointConnection | None = None
-        self.timer: asyncio.TimerHandle | None = None  # its own time limit; goes with its end
+        self.timer: asyncio.TimerHandle | None = None
         self.done = False
-        self.written = False  # to its last byte, or that is on its way
+        self.written = False
 
     def finish(self, reply: EndpointReply) -> None:
-        """Report the result, unless one was reported before."""
+        """Report the result, unless a result was reported before."""
         if not self.done:
             self.done = True
             if self.timer:
@@ -65,7 +74,7 @@
             self.on_result(reply)
 
     def abort(self, outcome: Outcome) -> None:
-        """Cancelled or out of time: its connection is closed, so that it can't be answered later."""
+        """End the attempt as cancelled or timed out, and close its connection so that no reply can follow."""
         if not self.done:
             if self.connection:
                 self.connection.abandon(self, outcome)
--- a/gatebank/proxy/upstream/connection.py
+++ b/gatebank/proxy/upstream/connection.py
@@ -1,7 +1,7 @@
-"""A connection to an endpoint, with one attempt out at a time.
+"""A connection to an endpoint, with at most one attempt in flight.
 
-Answers carry no id. An attempt written behind another would be served with whatever the endpoint sends too
-much for the first.
+Replies carry no id. If an attempt were written behind another, a surplus reply to the first would be taken
+for the reply to the second.
 """
 
 from __future__ import annotations
@@ -23,31 +23,43 @@
 if TYPE_CHECKING:
     from gatebank.proxy.upstream.pool import ConnectionPool
 
-ENDPOINT_SIDE = 1  # of a recorded connection: we opened it
-# An endpoint writes an answer in one go: where its next part does not come for so many times the time that a
-# connection may take to come up, it is spoilt.
+ENDPOINT_SIDE = 1  # The endpoint's side in a recording: the side that accepted the connection.
+# A reply counts as broken off when its next bytes do not arrive within this multiple of the connect timeout:
+# endpoints write a reply without a pause.
 REPLY_STALL_FACTOR = 2
 
 
 class EndpointConnection(Stream):
-    """A connection to one process of an endpoint; the pool that made it keeps it until `close`."""
+    """A connection to one process of an endpoint; its pool holds the connection until `close`.
+
+    Attributes:
+        attempt: The attempt in flight; cleared by its reply or by `close`.
+        idle_since: Monotonic time of the connect or of the last reply.
+        reusable_at: Monotonic time from which the next attempt may be written. The endpoint may have sent a
+            second copy of its last reply, which arrives before this time.
+        abandonment_comment: Comment for the recording: which attempt was abandoned, and its outcome.
+    """
 
     def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
         upstream = pool.upstream
         recording = upstream.record(sock) if upstream.record else None
         self.session = upstream.session
-        inbox = self.session.create_buffer(upstream.buffer_budget, upstream.max_value)
-        super().__init__(upstream.loop, sock, inbox, recording)
-        self.parse_replies = inbox.replies
+        buffer = self.session.create_buffer(upstream.buffer_budget, upstream.max_value)
+        super().__init__(upstream.loop, sock, buffer, recording)
+        self.parse_replies = buffer.replies
         self.pool = pool
-        self.attempt: Attempt | None = None  # that is out; cleared by its reply, or by `close`
+        self.attempt: Attempt | None = None
         self.idle_since = time.monotonic()
-        self.reusable_at = 0.0  # it has answered, and may do so twice
-        self.abandonment_comment = ""  # for the recording: which attempt was given up, and why
+        self.reusable_at = 0.0
+        self.abandonment_comment = ""
         self.reader = asyncio.ensure_future(self.read())
 
     def write(self, attempt: Attempt) -> bool:
-        """Write an attempt's bytes now; False if it is no longer wanted, and then nothing was done."""
+        """Write an attempt's bytes now.
+
+        Returns:
+            False if the attempt must not be sent any more; then nothing was written.
+        """
         data = attempt.payload()
         if data is None:
             attempt.finish(EndpointReply(Outcome.NOT_SENT))
@@ -69,10 +81,10 @@
         return True
 
     async def write_remaining(self, attempt: Attempt, rest: bytes) -> None:
-        """Write what the system did not take at once, the last byte by itself.
+        """Write the bytes that the kernel did not take at once, the last byte in a write of its own.
 
-        The last byte decides whether the attempt is out. It may be from just before its write on: the loop
-        may have written it, and the connection break, before this task goes on.
+        An attempt counts as sent from just before the write of its last byte: the loop may have written that
+        byte, and the connection may break, before this task continues.
         """
         try:
             if len(rest) > 1:
@@ -86,15 +98,15 @@
             self.close()
 
     async def read(self) -> None:
-        """Read replies until the connection ends, breaks, or says what no reply looks like."""
+        """Read replies until the connection ends or fails, or the endpoint violates the protocol."""
         try:
             while not self.closed:
                 size = await self.receive()
                 if not size:
                     break
-                recorded = self.received(size)
-                if self.recording and recorded is not None:
-                    self.recording.replied(recorded)
+                recorded_bytes = self.received(size)
+                if self.recording and recorded_bytes is not None:
+                    self.recording.replied(recorded_bytes)
                 self.handle_replies()
                 if not self.attempt and not self.closed:
                     if self.ended_after_reply():
@@ -103,25 +115,28 @@
                     self.pool.park_after_reply(self)
                 self.handling = False
         except ProtocolError as error:
-            idle = {} if self.attempt else {"idle": time.monotonic() - self.idle_since}
-            say("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle)
+            idle_time = {} if self.attempt else {"idle": time.monotonic() - self.idle_since}
+            say("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle_time)
         except OSError:
             pass
         finally:
             self.close()
 
     async def receive(self) -> int:
-        """Read on; returns the bytes read, 0 at the end.
+        """Read the next bytes into the buffer.
+
+        If the rest of a reply does not arrive in time, the connection is closed, so that its attempt need not
+        wait for its own time limit. The read itself is not cancelled at the timeout: a read that completed at
+        the same moment would be lost and leave a gap in the reply.
 
-        Where the rest of an answer does not come in time the connection is closed, so that its attempt need
-        not wait out its time limit. No read is given up for that: one that ended as the time did would leave
-        a hole in the answer.
+        Returns:
+            The number of bytes read; 0 at the end of the connection.
         """
         room = self.inbox.room()
         timer = None
         if self.inbox.held:
-            patience = REPLY_STALL_FACTOR * self.pool.upstream.connect_timeout
-            timer = self.loop.call_later(patience, self.on_reply_stalled)
+            stall_timeout = REPLY_STALL_FACTOR * self.pool.upstream.connect_timeout
+            timer = self.loop.call_later(stall_timeout, self.on_reply_stalled)
         try:
             return await self.reading.of(self.loop.sock_recv_into(self.sock, room))
         finally:
@@ -129,46 +144,51 @@
                 timer.cancel()
 
     def on_reply_stalled(self) -> None:
-        """Close on an answer that stopped half way."""
-        if not self.closed and not self.has_unread():  # else it has come, and this process was late
-            say("node_broken", logging.WARNING, node=self.pool.name, why="an answer stopped half way")
+        """Close the connection, as the rest of a reply did not arrive in time."""
+        # Unread bytes mean that the rest has arrived and this process is late.
+        if not self.closed and not self.has_unread():
+            say("node_broken", logging.WARNING, node=self.pool.name, why="a reply stopped before its end")
             self.close()
 
     def handle_replies(self) -> None:
-        """Give the whole reply to the attempt that is out."""
+        """Pass the reply, if it is whole, to the attempt in flight.
+
+        Raises:
+            ProtocolError: A reply arrived without an attempt that was sent, or is malformed.
+        """
         for reply in self.parse_replies():
             attempt = self.attempt
             if not attempt or not attempt.written:
-                raise ProtocolError("it answered what was not asked")
+                raise ProtocolError("a reply without an attempt in flight")
             result = self.session.parse_reply(reply, attempt.is_health_check)
             self.attempt = None
             attempt.finish(result)
 
     def ended_after_reply(self) -> bool:
-        """Tell whether the connection has ended, with all that came used up.
+        """Return whether the endpoint has ended the connection after its reply.
 
-        What lies behind an answer must not meet the next attempt, whose client would be served with another's
-        value.
+        Bytes behind a reply must not be taken for the reply to the next attempt, as that attempt's client
+        would be served with another request's value.
 
         Raises:
-            ProtocolError: More came than one answer.
+            ProtocolError: More bytes than one reply arrived.
         """
-        behind = waiting(self.sock)
-        if behind < 0:
+        socket_state = waiting(self.sock)
+        if socket_state < 0:
             return True
-        if self.inbox.held or behind:
-            raise ProtocolError("more came than one answer")
+        if self.inbox.held or socket_state:
+            raise ProtocolError("more bytes than one reply")
         return False
 
     def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
-        """No answer to this attempt is wanted any more: close, so that nothing of it goes out or comes."""
+        """Close the connection of an attempt that was ended early, so that none of it is sent or answered."""
         if self.recording and attempt.label:
             self.abandonment_comment = f"{attempt.label} {outcome.value}"
         self.attempt = None
         self.close()
 
     def close(self) -> None:
-        """Give everything back; what was out has lost its connection, or was never sent whole."""
+        """Release all resources; the attempt in flight ends as lost, or as unsent if not written whole."""
         if self.closed:
             return
         self.closed = True
--- a/gatebank/proxy/upstream/pool.py
+++ b/gatebank/proxy/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one process of an endpoint, and the attempts that wait for one."""
+"""The connections to one process of an endpoint, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -14,30 +14,38 @@
 if TYPE_CHECKING:
     from gatebank.proxy.upstream.pools import Upstream
 
-# A connection rests after an answer: a second one, which may come some milliseconds late (STANDING), would be
-# taken for that to the next attempt. Harmful where an endpoint gets more than some tens of attempts a second
-# from one instance, and connections are dear.
+# Delay after a reply before its connection is used again: a duplicate of the reply, which may arrive some
+# milliseconds late (STANDING), would be taken for the reply to the next attempt. The delay is harmful where
+# an endpoint gets more than some tens of attempts a second from one instance and connections are expensive.
 REUSE_DELAY_S = 0.02
-MIN_RECHECK_DELAY_S = 0.001  # before those that have not quite rested are looked at again
+# Minimum delay before a timer checks again for connections whose reuse delay was not quite over.
+MIN_RECHECK_DELAY_S = 0.001
 
 
 class ConnectionPool:
-    """Connections to one process of an endpoint at its address."""
+    """Connections to one process of an endpoint at its address.
+
+    Attributes:
+        connections: All open connections.
+        idle: Idle connections. The most recently used is last and is taken first, so that the others reach
+            the maximum idle age and are closed.
+        waiting_attempts: Attempts that wait for a connection, in order; removed when they are written or end.
+        connecting_count: Number of connections that are being opened.
+        delisted: Whether the process is off the endpoint list, so that no idle connection is kept.
+    """
 
     def __init__(self, upstream: Upstream, key: EndpointKey, name: str) -> None:
         self.upstream = upstream
         self.key = key
         self.name = name
         self.connections: set[EndpointConnection] = set()
-        self.idle: list[EndpointConnection] = []  # the last used first, so that the others grow old and go
-        self.waiting_attempts: deque[Attempt] = (
-            deque()
-        )  # for a connection, in turn; emptied as they come or do not
-        self.connecting_count = 0  # connections on their way
-        self.delisted = False  # it is off the endpoint list: no connection is kept
+        self.idle: list[EndpointConnection] = []
+        self.waiting_attempts: deque[Attempt] = deque()
+        self.connecting_count = 0
+        self.delisted = False
 
     def remove_connection(self, connection: EndpointConnection) -> None:
-        """Forget a connection that closes."""
+        """Remove a connection that closes."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -46,12 +54,12 @@
         self.upstream.remove_if_unused(self)
 
     def fail_waiting_without_connection(self) -> None:
-        """End the attempts that wait with no connection left or on its way."""
+        """Fail the waiting attempts if no connection is open or being opened."""
         while self.waiting_attempts and not self.connections and not self.connecting_count:
             self.waiting_attempts.popleft().finish(EndpointReply(Outcome.NO_CONNECTION))
 
     def assign_or_park(self, connection: EndpointConnection) -> None:
-        """Use a connection with nothing out: for the first attempt that waits and is wanted, or idle."""
+        """Write the first waiting attempt that is still wanted to a free connection; else make it idle."""
         while self.waiting_attempts and not connection.closed:
             attempt = self.waiting_attempts.popleft()
             if not attempt.done and connection.write(attempt):
@@ -62,7 +70,7 @@
             self.idle.append(connection)
 
     def park_after_reply(self, connection: EndpointConnection) -> None:
-        """A connection has answered all: idle, for a while with nothing to do."""
+        """Make a connection idle after its reply; it is not used again before the reuse delay is over."""
         if self.delisted:
             connection.close()
         elif not connection.closed:
@@ -73,32 +81,33 @@
                 self.upstream.loop.call_later(REUSE_DELAY_S, self.on_reuse_delay_over)
 
     def on_reuse_delay_over(self) -> None:
-        """Serve who waits by the connections that have rested.
+        """Assign waiting attempts to the connections whose reuse delay is over.
 
-        The loop's clock stands still within a turn, and so its timers come some milliseconds early: who has
-        not quite rested is looked at again.
+        The loop's clock does not advance within a turn, so its timers fire some milliseconds early.
+        Connections whose delay is not quite over are checked again later.
         """
         while self.waiting_attempts and (connection := self.take_idle()):
             self.assign_or_park(connection)
         if self.waiting_attempts and self.idle:
-            left = min(connection.reusable_at for connection in self.idle) - time.monotonic()
-            self.upstream.loop.call_later(max(MIN_RECHECK_DELAY_S, left), self.on_reuse_delay_over)
+            delay = min(connection.reusable_at for connection in self.idle) - time.monotonic()
+            self.upstream.loop.call_later(max(MIN_RECHECK_DELAY_S, delay), self.on_reuse_delay_over)
 
     def take_idle(self) -> EndpointConnection | None:
-        """Take the last used connection of those that have rested.
+        """Take the most recently used connection whose reuse delay is over; None if there is none.
 
-        Those that the endpoint has ended or is about to, or on which it sent more than it owed, are closed.
+        Connections that the endpoint has ended or may end soon, or on which it sent surplus bytes, are
+        closed.
         """
         now = time.monotonic()
-        resting: list[EndpointConnection] = []
-        found = None
-        while self.idle and not found:
+        not_reusable_yet: list[EndpointConnection] = []
+        chosen = None
+        while self.idle and not chosen:
             connection = self.idle.pop()
             if now < connection.reusable_at:
-                resting.append(connection)
+                not_reusable_yet.append(connection)
             elif now - connection.idle_since < self.upstream.max_idle_age and not connection.has_unread():
-                found = connection
+                chosen = connection
             else:
                 connection.close()
-        self.idle += reversed(resting)
-        return found
+        self.idle += reversed(not_reusable_yet)
+        return chosen
--- a/gatebank/proxy/upstream/pools.py
+++ b/gatebank/proxy/upstream/pools.py
@@ -1,4 +1,4 @@
-"""The upstream side as a whole: a pool for each endpoint process, within one number of connections."""
+"""The connection pools of all endpoint processes, with a common bound on the number of connections."""
 
 from __future__ import annotations
 
@@ -18,22 +18,32 @@
 from gatebank.proxy.upstream.pool import REUSE_DELAY_S, ConnectionPool
 from gatebank.settings import Settings
 
-DEFAULT_BUFFER_BYTES = 1 << 20  # that all receive buffers may grow by together
-DEFAULT_CONNECT_TIMEOUT_S = 1.0  # where the settings have none
-DEFAULT_IDLE_TIMEOUT_S = 10.0  # after which an endpoint closes, where the settings have none
-MAX_VALUES_IN_MEMORY = 8  # largest values that fit the buffers' memory together
+DEFAULT_BUFFER_BYTES = 1 << 20  # Memory that all receive buffers together may grow by.
+DEFAULT_CONNECT_TIMEOUT_S = 1.0  # Connect timeout where the settings have none.
+# Idle time after which an endpoint closes a connection, where the settings have none.
+DEFAULT_IDLE_TIMEOUT_S = 10.0
+MAX_VALUES_IN_MEMORY = 8  # Number of values of the largest size that fit into the buffers' memory together.
 
 
 class Upstream:
-    """Owns the pools, and the tasks that open connections.
+    """Owns the connection pools and the tasks that open connections.
 
     Args:
-        settings: Time limits, names of load report fields.
-        max_connections: Descriptors that endpoints' connections may take.
-        buffer_bytes: What all receive buffers may grow by together.
+        settings: Settings with the time limits and the names of load report fields.
+        max_connections: Number of descriptors that connections to endpoints may use.
+        buffer_bytes: Memory that all receive buffers together may grow by.
+
+    Attributes:
+        max_value: Maximum size of a value in bytes.
+        pools: Pools by endpoint process; removed as their endpoints leave the endpoint list.
+        open_count: Number of connections that are open or being opened.
+        peak_count: Highest `open_count` so far.
+        opened_total: Number of connections opened since the start.
+        connect_tasks: Tasks that open connections; each ends when its connection is open or has failed.
+        max_idle_age: Seconds after which an idle connection is closed.
     """
 
-    record: Record | None = None  # begins the recording of a connection
+    record: Record | None = None  # Begins the recording of a new connection; None where nothing is recorded.
 
     def __init__(
         self, settings: Settings, max_connections: int, buffer_bytes: int = DEFAULT_BUFFER_BYTES
@@ -44,15 +54,15 @@
         self.loop = asyncio.get_running_loop()
         self.max_connections = max_connections
         self.buffer_budget = Allowance(buffer_bytes)
-        # Endpoints give values beyond PROTOCOL's 64 KiB: what memory allows is taken.
+        # Endpoints send values larger than the 64 KiB of PROTOCOL; they are accepted as far as memory allows.
         self.max_value = max(EndpointSession.max_value, buffer_bytes // MAX_VALUES_IN_MEMORY)
-        self.pools: dict[EndpointKey, ConnectionPool] = {}  # emptied as endpoints leave the list
-        self.open_count = 0  # with those on their way
+        self.pools: dict[EndpointKey, ConnectionPool] = {}
+        self.open_count = 0
         self.peak_count = 0
-        self.opened_total = 0  # since the start
-        self.connect_tasks: set[asyncio.Task[None]] = set()  # each goes when its connection is up or not
+        self.opened_total = 0
+        self.connect_tasks: set[asyncio.Task[None]] = set()
         self.connect_timeout = DEFAULT_CONNECT_TIMEOUT_S if connect_timeout is None else connect_timeout
-        # Half of the time after which an endpoint closes them at the latest: it may be earlier.
+        # Half of the endpoints' idle timeout, as an endpoint may close a connection earlier than its timeout.
         self.max_idle_age = (DEFAULT_IDLE_TIMEOUT_S if idle_timeout is None else idle_timeout) / 2
         self.session = EndpointSession(settings.report_fields)
 
@@ -66,13 +76,14 @@
         is_health_check: bool = False,
         label: str = "",
     ) -> Attempt:
-        """Begin an attempt, on an idle connection, a new one, or the next that is free, in this order.
+        """Begin an attempt on an idle connection, a new one, or the next free one, in this order.
 
         Args:
-            key: The process it goes to.
+            key: The process that the attempt is sent to.
             name: The endpoint's name, for log lines.
-            payload: Gives the bytes when they can be written; None if they are unwanted then.
-            on_result: Takes the one result; it may be called before this returns.
+            payload: Returns the bytes to send when they can be written; None if the attempt must not be sent
+                any more.
+            on_result: Callback that takes the one result; may be called before this method returns.
             is_health_check: See `Attempt`.
             label: See `Attempt`.
         """
@@ -90,7 +101,7 @@
         return attempt
 
     def open_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
-        """Begin a connection; the attempt waits for it, or for one that becomes idle first."""
+        """Begin to open a connection; the attempt takes this connection or another that is free earlier."""
         pool.waiting_attempts.append(attempt)
         pool.connecting_count += 1
         self.open_count += 1
@@ -101,7 +112,10 @@
         task.add_done_callback(self.connect_tasks.discard)
 
     def wait_for_connection(self, pool: ConnectionPool, attempt: Attempt) -> None:
-        """No descriptor is left: wait for one of the pool's connections; where it has none, fail."""
+        """Let an attempt wait for one of the pool's connections, as no descriptor is left.
+
+        The attempt fails if the pool has no connection.
+        """
         if pool.connections or pool.connecting_count:
             pool.waiting_attempts.append(attempt)
             if pool.idle:
@@ -113,20 +127,20 @@
     def check_health(
         self, key: EndpointKey, name: str, timeout: float, on_result: Callable[[EndpointReply], None]
     ) -> None:
-        """Send a PING; without an answer within ``timeout`` seconds it ends as timed out."""
+        """Send a PING, which ends as timed out after ``timeout`` seconds without a reply."""
         attempt = self.send(key, name, lambda: self.session.health_check, on_result, is_health_check=True)
         if not attempt.done:
             attempt.timer = self.loop.call_later(timeout, attempt.abort, Outcome.TIMED_OUT)
 
     async def connect(self, pool: ConnectionPool, attempt: Attempt) -> None:
-        """Open a connection for a pool; where that fails, ``attempt`` fails if it still waits."""
+        """Open a connection for a pool; if that fails and ``attempt`` still waits, the attempt fails."""
         address = pool.key.address
         sock = None
         try:
             sock = opened(address)
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.sock_connect(sock, address)
-        except BaseException as error:  # also a cancellation: the descriptor is given back in each case
+        except BaseException as error:  # Includes cancellation: the descriptor is always released.
             pool.connecting_count -= 1
             self.open_count -= 1
             if sock:
@@ -145,14 +159,14 @@
             pool.assign_or_park(connection)
 
     def close_longest_idle(self) -> bool:
-        """Close the longest idle connection to make room; False if there is none."""
+        """Close the connection that has been idle for the longest time; return False if none is idle."""
         idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if idle:
             min(idle, key=lambda connection: connection.idle_since).close()
         return bool(idle)
 
     def retain(self, listed: set[EndpointKey]) -> None:
-        """The endpoint list changed: who is not on it keeps no idle connection."""
+        """Apply a new endpoint list: processes that are not on it keep no idle connections."""
         for key, pool in list(self.pools.items()):
             pool.delisted = key not in listed
             while pool.delisted and pool.idle:
@@ -160,19 +174,19 @@
             self.remove_if_unused(pool)
 
     def remove_if_unused(self, pool: ConnectionPool) -> None:
-        """Drop the pool of an endpoint that is off the list, once nothing of it is left."""
+        """Remove the pool of an endpoint that is off the list, once it has no connections and no attempts."""
         if pool.delisted and not pool.connections and not pool.waiting_attempts:
             self.pools.pop(pool.key, None)
 
     def close_expired_idle(self) -> None:
-        """Close connections that are idle for too long, before the endpoint ends them."""
-        before = time.monotonic() - self.max_idle_age
+        """Close connections that have been idle for too long, before the endpoint closes them."""
+        oldest_allowed = time.monotonic() - self.max_idle_age
         for pool in list(self.pools.values()):
-            while pool.idle and pool.idle[0].idle_since < before:
+            while pool.idle and pool.idle[0].idle_since < oldest_allowed:
                 pool.idle[0].close()
 
     def close(self) -> None:
-        """Give back all connections, also those on their way."""
+        """Close all connections, including those being opened."""
         for task in self.connect_tasks:
             task.cancel()
         for pool in list(self.pools.values()):
