--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -12,7 +12,7 @@
 from gatebank.proxy.downstream import limits
 from gatebank.proxy.downstream.replies import PendingReply
 from gatebank.proxy.messages import CommandError
-from gatebank.proxy.sockets import hung_up, seconds_since_received, unsent
+from gatebank.proxy.sockets import has_unsent_bytes, peer_has_closed, seconds_since_received
 from gatebank.proxy.stream import Stream
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
         to a client that has taken nothing for `limits.WRITE_STALL_TIMEOUT_S` do not count.
         """
         return self.has_unread() or (
-            now - self.timeout_start < limits.WRITE_STALL_TIMEOUT_S and unsent(self.sock)
+            now - self.timeout_start < limits.WRITE_STALL_TIMEOUT_S and has_unsent_bytes(self.sock)
         )
 
     # Reading commands.
@@ -83,17 +83,19 @@
         """Read commands until the client disconnects or sends malformed input."""
         try:
             while True:
-                size = await self.reading.of(self.loop.sock_recv_into(self.sock, self.inbox.room()))
+                size = await self.reading.run(
+                    self.loop.sock_recv_into(self.sock, self.receive_buffer.free_space())
+                )
                 if not size:
                     self.on_disconnect()
                     break
-                recorded_bytes = self.received(size)
+                recorded_bytes = self.account_read(size)
                 if self.recording and recorded_bytes is not None:
-                    self.recording.asked(recorded_bytes)
+                    self.recording.record_request_bytes(recorded_bytes)
                 self.measure_read_delay()
                 command_count = await self.handle_commands()
                 self.update_partial_command_clocks(command_count)
-                self.handling = False
+                self.is_handling_read = False
                 # More bytes may be waiting. A read that finds bytes at once does not yield to other tasks.
                 if command_count != 1:
                     await asyncio.sleep(0)
@@ -102,7 +104,7 @@
         except OSError:
             pass
         finally:
-            self.handling = False
+            self.is_handling_read = False
             if not self.closing:
                 self.close()
 
@@ -110,7 +112,7 @@
         """Measure how long the bytes just read had waited, and whether the client disconnected meanwhile."""
         delay = seconds_since_received(self.sock)
         self.read_delay = delay if delay >= limits.MIN_COUNTED_WAIT_S else 0.0
-        self.client_disconnected = self.read_delay > 0 and hung_up(self.sock)
+        self.client_disconnected = self.read_delay > 0 and peer_has_closed(self.sock)
 
     async def handle_commands(self) -> int:
         """Handle the whole commands in the buffer, no faster than replies are written.
@@ -137,7 +139,7 @@
             command_count: Number of whole commands that the last read completed.
         """
         self.last_bytes_at = self.loop.time()
-        if not self.inbox.held:
+        if not self.receive_buffer.incomplete_bytes:
             self.partial_command_since = 0.0
         elif command_count or not self.partial_command_since:
             self.partial_command_since = self.last_bytes_at
@@ -214,7 +216,7 @@
         connection that has unread bytes. Replies that the client is slow to take are written first; then
         `check_clocks` closes the connection.
         """
-        if not unsent(self.sock):
+        if not has_unsent_bytes(self.sock):
             self.close()
             return
         self.start_closing()
@@ -236,7 +238,7 @@
             now: Loop time.
             is_crowded: Whether more than half of the allowed connections are open.
         """
-        if (self.handling or self.closing) and self.replies and hung_up(self.sock):
+        if (self.is_handling_read or self.closing) and self.replies and peer_has_closed(self.sock):
             self.on_disconnect()  # The connection is not being read, so only this check sees the disconnect.
         elif self.closing:
             self.check_closing(now)
@@ -250,7 +252,7 @@
         if self.idle:
             # The delay lets the client read the error line, or see the end of the connection.
             if now - self.timeout_start >= (
-                limits.CLOSING_TIMEOUT_S if unsent(self.sock) else limits.LINGER_S
+                limits.CLOSING_TIMEOUT_S if has_unsent_bytes(self.sock) else limits.LINGER_S
             ):
                 self.close()
         elif now - self.timeout_start >= limits.CLOSING_TIMEOUT_S:
@@ -258,7 +260,7 @@
             self.timeout_start = now
             replies = list(self.replies)
             for reply in replies:
-                self.downstream.handler.abandon_reply(reply)
+                self.downstream.handler.fail_reply(reply)
             if not replies:  # All replies are given, but the client does not take them.
                 self.close()
 
@@ -322,7 +324,7 @@
             self.downstream.close_soon(self)
             return
         if self.recording and sent:
-            self.recording.replied(b"".join(parts)[:sent], "; ".join(comments))
+            self.recording.record_reply_bytes(b"".join(parts)[:sent], "; ".join(comments))
         if sent < size:
             self.keep_unwritten(b"".join(parts)[sent:])
             self.writer = asyncio.ensure_future(self.write_remaining())
@@ -351,7 +353,7 @@
                 async with asyncio.timeout(limits.WRITE_STALL_TIMEOUT_S):
                     await self.loop.sock_sendall(self.sock, part)
                 if self.recording:
-                    self.recording.replied(part)
+                    self.recording.record_reply_bytes(part)
                 self.unwritten = self.unwritten[len(part) :]
                 self.downstream.unwritten_bytes -= len(part)
         except (OSError, TimeoutError):
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -7,15 +7,15 @@
 import socket
 from math import inf
 
-from gatebank.proxy.buffers import Allowance
-from gatebank.proxy.configuration import Address, Bounds
+from gatebank.proxy.buffers import MemoryBudget
+from gatebank.proxy.configuration import Address, MemoryBounds
 from gatebank.proxy.downstream import limits
 from gatebank.proxy.downstream.connection import ClientConnection
 from gatebank.proxy.downstream.replies import RequestHandler
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import request_classes_by_name, tenants_by_name
 from gatebank.proxy.resp2.session import ClientSession
-from gatebank.proxy.sockets import Pending, Record, opened
+from gatebank.proxy.sockets import PendingOperation, StartRecording, open_socket
 from gatebank.settings import Settings
 
 
@@ -37,16 +37,16 @@
         protocol_error_count: Number of connections that sent malformed input, since the start.
     """
 
-    record: Record | None = None  # Begins the recording of a new connection; None where nothing is recorded.
+    record: StartRecording | None = None  # Begins the recording of a connection; None if disabled.
 
     def __init__(
-        self, settings: Settings, handler: RequestHandler, max_connections: int, bounds: Bounds
+        self, settings: Settings, handler: RequestHandler, max_connections: int, bounds: MemoryBounds
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.handler = handler
         self.max_connections = max_connections
-        self.max_unwritten_bytes = bounds.answers
-        self.buffer_budget = Allowance(bounds.buffers)
+        self.max_unwritten_bytes = bounds.unread_reply_bytes
+        self.buffer_budget = MemoryBudget(bounds.buffer_growth_bytes)
         self.session = ClientSession(request_classes_by_name(settings), tenants_by_name(settings))
         self.connections: dict[ClientConnection, None] = {}
         self.unwritten_bytes = 0
@@ -54,7 +54,7 @@
         self.shutting_down = False
         self.terminated_at: float | None = None
         self.sigkill_delay = limits.SIGKILL_GRACE_S + longest_deadline(settings)  # Seconds after SIGTERM.
-        self.pending_accept = Pending()
+        self.pending_accept = PendingOperation()
         self.accept_task: asyncio.Task[None] | None = None  # The task that runs `accept`.
         self.protocol_error_count = 0
         self.protocol_error_logged_at = -limits.PROTOCOL_ERROR_LOG_INTERVAL_S
@@ -68,7 +68,7 @@
         Raises:
             OSError: Listening on the address failed.
         """
-        self.listener = opened(address)
+        self.listener = open_socket(address)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.listener.bind(address)
         self.listener.listen(limits.LISTEN_BACKLOG)
@@ -78,9 +78,9 @@
         self.accept_task = asyncio.current_task()
         while self.listener:
             try:
-                sock, _ = await self.pending_accept.of(self.loop.sock_accept(self.listener))
+                sock, _ = await self.pending_accept.run(self.loop.sock_accept(self.listener))
             except OSError as error:
-                say("accept_failed", logging.WARNING, why=error)
+                log_kv("accept_failed", logging.WARNING, why=error)
                 await asyncio.sleep(limits.ACCEPT_RETRY_S)
                 continue
             await self.wait_for_room(self.add_connection(sock))
@@ -175,7 +175,7 @@
         self.unwritten_bytes += size
         if self.unwritten_bytes > self.max_unwritten_bytes:
             largest = max(self.connections, key=lambda connection: len(connection.unwritten))
-            say(
+            log_kv(
                 "client_cut", logging.WARNING, why="too many unwritten reply bytes", owed=self.unwritten_bytes
             )
             self.close_soon(largest)
@@ -185,7 +185,7 @@
         self.protocol_error_count += 1
         if self.loop.time() >= self.protocol_error_logged_at + limits.PROTOCOL_ERROR_LOG_INTERVAL_S:
             self.protocol_error_logged_at = self.loop.time()
-            say("client_broken", logging.WARNING, why=reason, so_far=self.protocol_error_count)
+            log_kv("client_broken", logging.WARNING, why=reason, so_far=self.protocol_error_count)
 
     def close_soon(self, connection: ClientConnection) -> None:
         """Close a connection in the next turn of the loop, not while the caller still works on it."""
--- a/gatebank/proxy/downstream/replies.py
+++ b/gatebank/proxy/downstream/replies.py
@@ -48,7 +48,7 @@
     def on_client_disconnect(self, reply: ReplySink) -> None:
         """Handle that the client has disconnected and does not read the answer."""
 
-    def abandon_reply(self, reply: ReplySink) -> None:
+    def fail_reply(self, reply: ReplySink) -> None:
         """Give the final answer now, as the client's connection must end."""
 
 
--- a/gatebank/proxy/resp2/codec.py
+++ b/gatebank/proxy/resp2/codec.py
@@ -28,11 +28,11 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
 
-from gatebank.proxy.buffers import Allowance, ProtocolError
+from gatebank.proxy.buffers import MemoryBudget, ProtocolError
 
 __all__ = [
     "MAX_VALUE_BYTES",
-    "Allowance",
+    "MemoryBudget",
     "ProtocolError",
     "Reply",
     "Resp2Buffer",
@@ -80,11 +80,11 @@
         bytes_needed: Total size of the incomplete message, as far as it is known.
     """
 
-    def __init__(self, allowance: Allowance | None = None, max_value: int = MAX_VALUE_BYTES) -> None:
+    def __init__(self, allowance: MemoryBudget | None = None, max_value: int = MAX_VALUE_BYTES) -> None:
         self.max_value = max_value
         self.max_size = max_value + MAX_LINE_BYTES * 4
         self.data: bytearray | bytes = bytearray(INITIAL_BUFFER_BYTES)
-        self.allowance = allowance or Allowance(self.max_size)
+        self.allowance = allowance or MemoryBudget(self.max_size)
         self.allowance_taken = 0
         self.start = 0
         self.end = 0
@@ -110,17 +110,17 @@
 
     def close(self) -> None:
         """Return the memory taken from the allowance."""
-        self.allowance.left += self.allowance_taken
+        self.allowance.available += self.allowance_taken
         self.allowance_taken = 0
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Return the space for the next read; invalidates all slices returned so far.
 
         Raises:
             ProtocolError: A message is longer than allowed, or the allowance is used up.
         """
         assert isinstance(self.data, bytearray), "a buffer made by from_bytes cannot be read into"
-        held = self.held
+        held = self.incomplete_bytes
         if not held and len(self.data) > INITIAL_BUFFER_BYTES:
             self.data = bytearray(INITIAL_BUFFER_BYTES)
             self.close()
@@ -132,28 +132,28 @@
             if held >= self.max_size:
                 raise ProtocolError("a message is too long")
             more = min(held, self.max_size - held) + MIN_READ_BYTES - (len(self.data) - held)
-            if not self.allowance.take(more):
+            if not self.allowance.reserve(more):
                 raise ProtocolError("no room for a message so long")
             self.allowance_taken += more
             self.data = self.data + bytearray(more)
         return memoryview(self.data)[held:]
 
-    def filled(self, size: int) -> None:
-        """Account for bytes that were read into the space of `room`."""
+    def commit(self, size: int) -> None:
+        """Account for bytes that were read into the space of `free_space`."""
         self.end += size
 
     @property
-    def held(self) -> int:
+    def incomplete_bytes(self) -> int:
         """Number of unparsed bytes."""
         return self.end - self.start
 
     def feed(self, data: bytes) -> None:
         """Copy bytes into the buffer, as if they had been read."""
         while data:
-            room = self.room()
+            room = self.free_space()
             size = min(len(room), len(data))
             room[:size] = data[:size]
-            self.filled(size)
+            self.commit(size)
             data = data[size:]
 
     def find_line_end(self, at: int, max_length: int = MAX_LINE_BYTES) -> tuple[int, int] | None:
@@ -237,7 +237,7 @@
     def partial_command_values(self) -> list[bytes]:
         """Return the complete values of an incomplete command."""
         values: list[bytes] = []
-        if self.held and (count := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
+        if self.incomplete_bytes and (count := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
             at = count[1]
             try:
                 while len(values) < count[0] and (bulk := self.parse_bulk_string(at, 0)):
--- a/gatebank/proxy/upstream/connection.py
+++ b/gatebank/proxy/upstream/connection.py
@@ -14,9 +14,9 @@
 
 from gatebank.events import Outcome
 from gatebank.proxy.buffers import ProtocolError
-from gatebank.proxy.log import say
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import EndpointReply
-from gatebank.proxy.sockets import waiting
+from gatebank.proxy.sockets import peek_receive_state
 from gatebank.proxy.stream import Stream
 from gatebank.proxy.upstream.attempt import Attempt
 
@@ -75,7 +75,7 @@
             return True
         attempt.written = sent == len(data)
         if self.recording:
-            self.recording.asked(data[:sent], attempt.label)
+            self.recording.record_request_bytes(data[:sent], attempt.label)
         if not attempt.written:
             self.writer = asyncio.ensure_future(self.write_remaining(attempt, data[sent:]))
         return True
@@ -92,7 +92,7 @@
             attempt.written = True
             await self.loop.sock_sendall(self.sock, rest[-1:])
             if self.recording:
-                self.recording.asked(rest)
+                self.recording.record_request_bytes(rest)
             self.writer = None
         except OSError:
             self.close()
@@ -104,19 +104,19 @@
                 size = await self.receive()
                 if not size:
                     break
-                recorded_bytes = self.received(size)
+                recorded_bytes = self.account_read(size)
                 if self.recording and recorded_bytes is not None:
-                    self.recording.replied(recorded_bytes)
+                    self.recording.record_reply_bytes(recorded_bytes)
                 self.handle_replies()
                 if not self.attempt and not self.closed:
                     if self.ended_after_reply():
                         break
-                    self.handling = False
+                    self.is_handling_read = False
                     self.pool.park_after_reply(self)
-                self.handling = False
+                self.is_handling_read = False
         except ProtocolError as error:
             idle_time = {} if self.attempt else {"idle": time.monotonic() - self.idle_since}
-            say("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle_time)
+            log_kv("node_broken", logging.WARNING, node=self.pool.name, why=error, **idle_time)
         except OSError:
             pass
         finally:
@@ -132,13 +132,13 @@
         Returns:
             The number of bytes read; 0 at the end of the connection.
         """
-        room = self.inbox.room()
+        room = self.receive_buffer.free_space()
         timer = None
-        if self.inbox.held:
+        if self.receive_buffer.incomplete_bytes:
             stall_timeout = REPLY_STALL_FACTOR * self.pool.upstream.connect_timeout
             timer = self.loop.call_later(stall_timeout, self.on_reply_stalled)
         try:
-            return await self.reading.of(self.loop.sock_recv_into(self.sock, room))
+            return await self.reading.run(self.loop.sock_recv_into(self.sock, room))
         finally:
             if timer:
                 timer.cancel()
@@ -147,7 +147,7 @@
         """Close the connection, as the rest of a reply did not arrive in time."""
         # Unread bytes mean that the rest has arrived and this process is late.
         if not self.closed and not self.has_unread():
-            say("node_broken", logging.WARNING, node=self.pool.name, why="a reply stopped before its end")
+            log_kv("node_broken", logging.WARNING, node=self.pool.name, why="a reply stopped before its end")
             self.close()
 
     def handle_replies(self) -> None:
@@ -173,10 +173,10 @@
         Raises:
             ProtocolError: More bytes than one reply arrived.
         """
-        socket_state = waiting(self.sock)
+        socket_state = peek_receive_state(self.sock)
         if socket_state < 0:
             return True
-        if self.inbox.held or socket_state:
+        if self.receive_buffer.incomplete_bytes or socket_state:
             raise ProtocolError("more bytes than one reply")
         return False
 
--- a/gatebank/proxy/upstream/pools.py
+++ b/gatebank/proxy/upstream/pools.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable
 
 from gatebank.events import Outcome
-from gatebank.proxy.buffers import Allowance
-from gatebank.proxy.log import say
+from gatebank.proxy.buffers import MemoryBudget
+from gatebank.proxy.log import log_kv
 from gatebank.proxy.messages import EndpointReply
 from gatebank.proxy.resp2.session import EndpointSession
-from gatebank.proxy.sockets import Record, opened
+from gatebank.proxy.sockets import StartRecording, open_socket
 from gatebank.proxy.upstream.attempt import Attempt, EndpointKey
 from gatebank.proxy.upstream.connection import EndpointConnection
 from gatebank.proxy.upstream.pool import REUSE_DELAY_S, ConnectionPool
@@ -43,7 +43,7 @@
         max_idle_age: Seconds after which an idle connection is closed.
     """
 
-    record: Record | None = None  # Begins the recording of a new connection; None where nothing is recorded.
+    record: StartRecording | None = None  # Begins the recording of a connection; None if disabled.
 
     def __init__(
         self, settings: Settings, max_connections: int, buffer_bytes: int = DEFAULT_BUFFER_BYTES
@@ -53,7 +53,7 @@
         connect_timeout = limits.connect_timeout
         self.loop = asyncio.get_running_loop()
         self.max_connections = max_connections
-        self.buffer_budget = Allowance(buffer_bytes)
+        self.buffer_budget = MemoryBudget(buffer_bytes)
         # Endpoints send values larger than the 64 KiB of PROTOCOL; they are accepted as far as memory allows.
         self.max_value = max(EndpointSession.max_value, buffer_bytes // MAX_VALUES_IN_MEMORY)
         self.pools: dict[EndpointKey, ConnectionPool] = {}
@@ -121,7 +121,7 @@
             if pool.idle:
                 self.loop.call_later(REUSE_DELAY_S, pool.on_reuse_delay_over)
         else:
-            say("no_descriptor", logging.WARNING, open=self.open_count)
+            log_kv("no_descriptor", logging.WARNING, open=self.open_count)
             attempt.finish(EndpointReply(Outcome.NOT_SENT))
 
     def check_health(
@@ -137,7 +137,7 @@
         address = pool.key.address
         sock = None
         try:
-            sock = opened(address)
+            sock = open_socket(address)
             async with asyncio.timeout(self.connect_timeout):
                 await self.loop.sock_connect(sock, address)
         except BaseException as error:  # Includes cancellation: the descriptor is always released.
