--- a/gatebank/proxy/resp2/codec.py
+++ b/gatebank/proxy/resp2/codec.py
@@ -67,25 +67,25 @@
 class Resp2Buffer:
     """The receive buffer of one connection.
 
-    The buffer grows up to the largest size of a message, within an allowance that many buffers share, and
-    shrinks again when it is empty; `close` returns the memory taken from the allowance.
+    The buffer grows up to the largest size of a message, within a memory budget that many buffers share,
+    and shrinks again when it is empty; `close` returns the memory reserved from the budget.
 
     Args:
-        allowance: Bytes that the buffer may grow by; None allows as much as one message needs.
+        memory_budget: Memory that the buffer may grow by; None allows as much as one message needs.
         max_value: Maximum size of one value in bytes.
 
     Attributes:
         data: The buffer; its unparsed bytes lie from ``start`` to ``end``.
-        allowance_taken: Bytes taken from the allowance.
+        reserved_bytes: Memory reserved from the budget.
         bytes_needed: Total size of the incomplete message, as far as it is known.
     """
 
-    def __init__(self, allowance: MemoryBudget | None = None, max_value: int = MAX_VALUE_BYTES) -> None:
+    def __init__(self, memory_budget: MemoryBudget | None = None, max_value: int = MAX_VALUE_BYTES) -> None:
         self.max_value = max_value
         self.max_size = max_value + MAX_LINE_BYTES * 4
         self.data: bytearray | bytes = bytearray(INITIAL_BUFFER_BYTES)
-        self.allowance = allowance or MemoryBudget(self.max_size)
-        self.allowance_taken = 0
+        self.memory_budget = memory_budget or MemoryBudget(self.max_size)
+        self.reserved_bytes = 0
         self.start = 0
         self.end = 0
         self.bytes_needed = 0
@@ -105,41 +105,41 @@
         self.start = 0
         self.end = len(data)
         self.bytes_needed = 0
-        self.allowance_taken = 0
+        self.reserved_bytes = 0
         return self
 
     def close(self) -> None:
-        """Return the memory taken from the allowance."""
-        self.allowance.available += self.allowance_taken
-        self.allowance_taken = 0
+        """Return the memory reserved from the memory budget."""
+        self.memory_budget.available += self.reserved_bytes
+        self.reserved_bytes = 0
 
     def free_space(self) -> memoryview:
         """Return the space for the next read; invalidates all slices returned so far.
 
         Raises:
-            ProtocolError: A message is longer than allowed, or the allowance is used up.
+            ProtocolError: A message is longer than allowed, or the memory budget is used up.
         """
         assert isinstance(self.data, bytearray), "a buffer made by from_bytes cannot be read into"
-        held = self.incomplete_bytes
-        if not held and len(self.data) > INITIAL_BUFFER_BYTES:
+        unparsed = self.incomplete_bytes
+        if not unparsed and len(self.data) > INITIAL_BUFFER_BYTES:
             self.data = bytearray(INITIAL_BUFFER_BYTES)
             self.close()
         elif self.start:
-            self.data[:held] = self.data[self.start : self.end]
+            self.data[:unparsed] = self.data[self.start : self.end]
         self.start = 0
-        self.end = held
-        if len(self.data) - held < MIN_READ_BYTES:
-            if held >= self.max_size:
+        self.end = unparsed
+        if len(self.data) - unparsed < MIN_READ_BYTES:
+            if unparsed >= self.max_size:
                 raise ProtocolError("a message is too long")
-            more = min(held, self.max_size - held) + MIN_READ_BYTES - (len(self.data) - held)
-            if not self.allowance.reserve(more):
+            growth = min(unparsed, self.max_size - unparsed) + MIN_READ_BYTES - (len(self.data) - unparsed)
+            if not self.memory_budget.reserve(growth):
                 raise ProtocolError("no room for a message so long")
-            self.allowance_taken += more
-            self.data = self.data + bytearray(more)
-        return memoryview(self.data)[held:]
+            self.reserved_bytes += growth
+            self.data = self.data + bytearray(growth)
+        return memoryview(self.data)[unparsed:]
 
     def commit(self, size: int) -> None:
-        """Account for bytes that were read into the space of `free_space`."""
+        """Add bytes that were read into `free_space` to the unparsed bytes."""
         self.end += size
 
     @property
@@ -150,14 +150,14 @@
     def feed(self, data: bytes) -> None:
         """Copy bytes into the buffer, as if they had been read."""
         while data:
-            room = self.free_space()
-            size = min(len(room), len(data))
-            room[:size] = data[:size]
+            space = self.free_space()
+            size = min(len(space), len(data))
+            space[:size] = data[:size]
             self.commit(size)
             data = data[size:]
 
-    def find_line_end(self, at: int, max_length: int = MAX_LINE_BYTES) -> tuple[int, int] | None:
-        """Find the end of the line that begins at ``at``.
+    def find_line_end(self, position: int, max_length: int = MAX_LINE_BYTES) -> tuple[int, int] | None:
+        """Find the end of the line that begins at ``position``.
 
         Returns:
             The positions of the line's end and of the next line; None if the line is incomplete.
@@ -165,15 +165,15 @@
         Raises:
             ProtocolError: The line is too long.
         """
-        line_end = self.data.find(b"\r\n", at, self.end)
+        line_end = self.data.find(b"\r\n", position, self.end)
         if line_end < 0:
-            if self.end - at > max_length:
+            if self.end - position > max_length:
                 raise ProtocolError("a line is too long")
             return None
         return line_end, line_end + 2
 
-    def parse_length(self, at: int, minimum: int, maximum: int) -> tuple[int, int] | None:
-        """Parse the length in the line whose type byte is at ``at``.
+    def parse_length(self, position: int, minimum: int, maximum: int) -> tuple[int, int] | None:
+        """Parse the length in the line whose type byte is at ``position``.
 
         Returns:
             The length and the position of the next line; None if the line is incomplete.
@@ -181,28 +181,28 @@
         Raises:
             ProtocolError: The line is no number between ``minimum`` and ``maximum``.
         """
-        if not (line := self.find_line_end(at + 1, MAX_LENGTH_LINE_BYTES)):
+        if not (line := self.find_line_end(position + 1, MAX_LENGTH_LINE_BYTES)):
             return None
-        text = bytes(self.data[at + 1 : line[0]])
+        text = bytes(self.data[position + 1 : line[0]])
         digits = text[1:] if text[:1] == b"-" else text
         if not digits.isdigit() or len(digits) > 9 or not minimum <= int(text) <= maximum:
             raise ProtocolError("a length is senseless")
         return int(text), line[1]
 
-    def parse_bulk_string(self, at: int, min_length: int) -> tuple[memoryview | None, int] | None:
-        """Parse the bulk string at ``at``.
+    def parse_bulk_string(self, position: int, min_length: int) -> tuple[memoryview | None, int] | None:
+        """Parse the bulk string at ``position``.
 
         Returns:
             The value (None for a null) and the position behind it; None if the bulk string is incomplete.
 
         Raises:
-            ProtocolError: There is no well-formed bulk string at ``at``.
+            ProtocolError: There is no well-formed bulk string at ``position``.
         """
-        if at >= self.end:
+        if position >= self.end:
             return None
-        if self.data[at] != 0x24:  # $
+        if self.data[position] != 0x24:  # $
             raise ProtocolError("no bulk string where one belongs")
-        if not (parsed := self.parse_length(at, min_length, self.max_value)):
+        if not (parsed := self.parse_length(position, min_length, self.max_value)):
             return None
         size, begin = parsed
         if size < 0:
@@ -225,24 +225,24 @@
         """
         if not (parsed := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
             return None
-        count, at = parsed
+        count, position = parsed
         values: list[memoryview | None] = []
         for _ in range(count):
-            if not (bulk := self.parse_bulk_string(at, min_length)):
+            if not (bulk := self.parse_bulk_string(position, min_length)):
                 return None
             values.append(bulk[0])
-            at = bulk[1]
-        return values, at
+            position = bulk[1]
+        return values, position
 
     def partial_command_values(self) -> list[bytes]:
         """Return the complete values of an incomplete command."""
         values: list[bytes] = []
         if self.incomplete_bytes and (count := self.parse_length(self.start, 0, MAX_ARRAY_LENGTH)):
-            at = count[1]
+            position = count[1]
             try:
-                while len(values) < count[0] and (bulk := self.parse_bulk_string(at, 0)):
+                while len(values) < count[0] and (bulk := self.parse_bulk_string(position, 0)):
                     values.append(bytes(bulk[0] or b""))
-                    at = bulk[1]
+                    position = bulk[1]
             except ProtocolError:  # The next value is malformed.
                 pass
         return values
--- a/gatebank/replay/sockets.py
+++ b/gatebank/replay/sockets.py
@@ -181,7 +181,7 @@
 
     async def _read_responses(self) -> None:
         inbox = resp.Resp2Buffer(None, MAX_VALUE_BYTES)
-        inbox.allowance = resp.MemoryBudget(2 * MAX_VALUE_BYTES)
+        inbox.memory_budget = resp.MemoryBudget(2 * MAX_VALUE_BYTES)
         while not self._is_closed:
             size = await self._player.loop.sock_recv_into(self._socket, inbox.free_space())
             if not size:
