--- a/gatebank/proxy/upstream/pool.py
+++ b/gatebank/proxy/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The connections to one process of an endpoint, and the attempts that wait for one."""
+"""The connections to one process of an endpoint, and the attempts that wait for a connection."""
 
 from __future__ import annotations
 
@@ -14,44 +14,54 @@
 if TYPE_CHECKING:
     from gatebank.proxy.upstream.pools import Upstream
 
-# A connection rests after an answer: a second one, which may come some milliseconds late (STANDING), would be
-# taken for that to the next attempt. Harmful where an endpoint gets more than some tens of attempts a second
-# from one instance, and connections are dear.
-REST_S = 0.02
-MIN_REST_LEFT_S = 0.001  # before those that have not quite rested are looked at again
+# Delay after a reply before its connection is used again: a duplicate of the reply, which may arrive some
+# milliseconds late (STANDING), would be taken for the reply to the next attempt. The delay is harmful where
+# an endpoint gets more than some tens of attempts a second from one instance and connections are expensive.
+REUSE_DELAY_S = 0.02
+# Minimum delay before a timer checks again for connections whose reuse delay was not quite over.
+MIN_RECHECK_DELAY_S = 0.001
 
 
 class ConnectionPool:
-    """Connections to one process of an endpoint at its address."""
+    """Connections to one process of an endpoint at its address.
+
+    Attributes:
+        connections: All open connections.
+        idle: Idle connections. The most recently used is last and is taken first, so that the others reach
+            the maximum idle age and are closed.
+        waiting_attempts: Attempts that wait for a connection, in order; removed when they are written or end.
+        connecting_count: Number of connections that are being opened.
+        delisted: Whether the process is off the endpoint list, so that no idle connection is kept.
+    """
 
     def __init__(self, upstream: Upstream, key: EndpointKey, name: str) -> None:
         self.upstream = upstream
         self.key = key
         self.name = name
         self.connections: set[EndpointConnection] = set()
-        self.idle: list[EndpointConnection] = []  # the last used first, so that the others grow old and go
-        self.waiting: deque[Attempt] = deque()  # for a connection, in turn; emptied as they come or do not
-        self.connecting = 0  # connections on their way
-        self.delisted = False  # it is off the endpoint list: no connection is kept
+        self.idle: list[EndpointConnection] = []
+        self.waiting_attempts: deque[Attempt] = deque()
+        self.connecting_count = 0
+        self.delisted = False
 
-    def drop(self, connection: EndpointConnection) -> None:
-        """Forget a connection that closes."""
+    def remove_connection(self, connection: EndpointConnection) -> None:
+        """Remove a connection that closes."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
         self.upstream.open_count -= 1
-        self.fail_stranded()
+        self.fail_waiting_without_connection()
         self.upstream.remove_if_unused(self)
 
-    def fail_stranded(self) -> None:
-        """End the attempts that wait with no connection left or on its way."""
-        while self.waiting and not self.connections and not self.connecting:
-            self.waiting.popleft().finish(EndpointReply(Outcome.NO_CONNECTION))
+    def fail_waiting_without_connection(self) -> None:
+        """Fail the waiting attempts if no connection is open or being opened."""
+        while self.waiting_attempts and not self.connections and not self.connecting_count:
+            self.waiting_attempts.popleft().finish(EndpointReply(Outcome.NO_CONNECTION))
 
-    def park(self, connection: EndpointConnection) -> None:
-        """Use a connection with nothing out: for the first attempt that waits and is wanted, or idle."""
-        while self.waiting and not connection.closed:
-            attempt = self.waiting.popleft()
+    def assign_or_park(self, connection: EndpointConnection) -> None:
+        """Write the first waiting attempt that is still wanted to a free connection; else make it idle."""
+        while self.waiting_attempts and not connection.closed:
+            attempt = self.waiting_attempts.popleft()
             if not attempt.done and connection.write(attempt):
                 return
         if self.delisted:
@@ -59,44 +69,45 @@
         elif not connection.closed and connection not in self.idle:
             self.idle.append(connection)
 
-    def rest(self, connection: EndpointConnection) -> None:
-        """A connection has answered all: idle, for a while with nothing to do."""
+    def park_after_reply(self, connection: EndpointConnection) -> None:
+        """Make a connection idle after its reply; it is not used again before the reuse delay is over."""
         if self.delisted:
             connection.close()
         elif not connection.closed:
             connection.idle_since = time.monotonic()
-            connection.rests_until = connection.idle_since + REST_S
+            connection.reusable_at = connection.idle_since + REUSE_DELAY_S
             self.idle.append(connection)
-            if self.waiting:
-                self.upstream.loop.call_later(REST_S, self.on_rested)
+            if self.waiting_attempts:
+                self.upstream.loop.call_later(REUSE_DELAY_S, self.on_reuse_delay_over)
 
-    def on_rested(self) -> None:
-        """Serve who waits by the connections that have rested.
+    def on_reuse_delay_over(self) -> None:
+        """Assign waiting attempts to the connections whose reuse delay is over.
 
-        The loop's clock stands still within a turn, and so its timers come some milliseconds early: who has
-        not quite rested is looked at again.
+        The loop's clock does not advance within a turn, so its timers fire some milliseconds early.
+        Connections whose delay is not quite over are checked again later.
         """
-        while self.waiting and (connection := self.take_idle()):
-            self.park(connection)
-        if self.waiting and self.idle:
-            left = min(connection.rests_until for connection in self.idle) - time.monotonic()
-            self.upstream.loop.call_later(max(MIN_REST_LEFT_S, left), self.on_rested)
+        while self.waiting_attempts and (connection := self.take_idle()):
+            self.assign_or_park(connection)
+        if self.waiting_attempts and self.idle:
+            delay = min(connection.reusable_at for connection in self.idle) - time.monotonic()
+            self.upstream.loop.call_later(max(MIN_RECHECK_DELAY_S, delay), self.on_reuse_delay_over)
 
     def take_idle(self) -> EndpointConnection | None:
-        """Take the last used connection of those that have rested.
+        """Take the most recently used connection whose reuse delay is over; None if there is none.
 
-        Those that the endpoint has ended or is about to, or on which it sent more than it owed, are closed.
+        Connections that the endpoint has ended or may end soon, or on which it sent surplus bytes, are
+        closed.
         """
         now = time.monotonic()
-        resting: list[EndpointConnection] = []
-        found = None
-        while self.idle and not found:
+        not_reusable_yet: list[EndpointConnection] = []
+        chosen = None
+        while self.idle and not chosen:
             connection = self.idle.pop()
-            if now < connection.rests_until:
-                resting.append(connection)
-            elif now - connection.idle_since < self.upstream.retire_after and not connection.has_unread():
-                found = connection
+            if now < connection.reusable_at:
+                not_reusable_yet.append(connection)
+            elif now - connection.idle_since < self.upstream.max_idle_age and not connection.has_unread():
+                chosen = connection
             else:
                 connection.close()
-        self.idle += reversed(resting)
-        return found
+        self.idle += reversed(not_reusable_yet)
+        return chosen
