--- a/gatebank/proxy/dispatcher.py
+++ b/gatebank/proxy/dispatcher.py
@@ -269,7 +269,7 @@
         if LOG.isEnabledFor(logging.DEBUG):
             self.log_attempt(request, endpoint, reply.outcome, duration)
         result = AttemptResult(number, reply.outcome, duration, False, reply.load_report)
-        self.dispatch(self.deliver_result, request, result)
+        self.dispatch(self.give_result, request, result)
 
     def log_attempt(self, request: RequestInFlight, endpoint: int, outcome: Outcome, duration: float) -> None:
         """Log the end of an attempt at debug level."""
@@ -284,7 +284,7 @@
             took=duration,
         )
 
-    def deliver_result(self, request: RequestInFlight, result: AttemptResult) -> None:
+    def give_result(self, request: RequestInFlight, result: AttemptResult) -> None:
         """Pass an attempt's result to the balancer; queued as an event.
 
         Whether the request is answered is read when this event is handled, not when the attempt ended.
