--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -101,7 +101,7 @@
         "peers": [f"{instance_address(each)}:{PEER_PORT}" for each in range(INSTANCES)],
         "discovery": f"{HOST}:{world.discovery.port}",
         "platform": {"address": f"{HOST}:{world.releases.port}", "news": world.releases.state},
-        "known": world.discovery.listing(None),
+        "known": world.discovery.endpoint_list(None),
     }
     given["settings"] |= {"me": number, "balancers": INSTANCES}
     given["settings"]["domain"] |= {"back-votes": INSTANCES, "ayes-needed": INSTANCES}
@@ -179,10 +179,10 @@
 async def play(other: Path) -> list[str]:
     """Run the deployment once, print each instance's message counters, and return the faults."""
     world = World(HOST)
-    world.failing = {"new"}
+    world.failing_endpoints = {"new"}
     await world.start()
     for number in range(ENDPOINTS):
-        await world.add(f"node-{number}", BASE_BUILD)
+        await world.add_endpoint(f"node-{number}", BASE_BUILD)
     with tempfile.TemporaryDirectory() as name:
         async with AsyncExitStack() as stack:
             instances: list[RunningInstance] = []
@@ -191,7 +191,7 @@
                 running = await stack.enter_async_context(instance(Path(name), number, world, root))
                 instances.append(running)
                 await send_to_all(instances, WARM_UP_REQUESTS)
-            await world.add("new", CANARY_BUILD)
+            await world.add_endpoint("new", CANARY_BUILD)
             world.releases.publish(CANARY_BUILD, 0, "trial", CANARY_CAP)
             replies = await send_to_all(instances, CANARY_REQUESTS)
             await wait_for_votes(instances)
--- a/benchmarks/nodes.py
+++ b/benchmarks/nodes.py
@@ -70,9 +70,9 @@
     world.faults = dict(fault.split("=", 1) for fault in faults)
     await world.start()
     for number in range(ENDPOINTS):
-        await world.add(f"node-{number}", BASE_BUILD, FIRST_PORT + number)
+        await world.add_endpoint(f"node-{number}", BASE_BUILD, FIRST_PORT + number)
     if "new" in world.faults:
-        await world.add("new", CANARY_BUILD, CANARY_PORT)
+        await world.add_endpoint("new", CANARY_BUILD, CANARY_PORT)
         world.releases.publish(CANARY_BUILD, 0, "trial", CANARY_CAP)
 
     def print_counts() -> None:
--- a/gatebank/fakes/__main__.py
+++ b/gatebank/fakes/__main__.py
@@ -10,7 +10,7 @@
 
 import typer
 
-from gatebank.fakes.clients import UnservedError, send_requests
+from gatebank.fakes.clients import InstanceUnavailableError, send_requests
 from gatebank.fakes.world import World
 
 EXAMPLE = Path(__file__).parents[2] / "examples" / "marshal.json"
@@ -32,10 +32,10 @@
 async def run_world(host: str, first_port: int, discovery_port: int, release_service_port: int) -> None:
     """Run the example's fleet for ever; after some seconds a new build is offered."""
     world = World(host, discovery_port, release_service_port)
-    world.reply_time = REPLY_TIME
+    world.mean_reply_time = REPLY_TIME
     await world.start()
     for number in range(ENDPOINTS):
-        await world.add(f"toy-{number}", BASE_BUILD, first_port + number)
+        await world.add_endpoint(f"toy-{number}", BASE_BUILD, first_port + number)
     print(
         f"toy world: discovery {host}:{discovery_port}, release desk {host}:{release_service_port},"
         f" nodes from {host}:{first_port}",
@@ -49,7 +49,7 @@
 async def offer_build(world: World, first_port: int) -> None:
     """Take a build from stage to stage as it is voted on, until it is released or withdrawn."""
     for stage, cap in enumerate(CAPS):
-        await world.add(f"toy-new-{stage}", NEW_BUILD, first_port + stage)
+        await world.add_endpoint(f"toy-new-{stage}", NEW_BUILD, first_port + stage)
         world.releases.publish(NEW_BUILD, stage, "trial", cap)
         print(f"build {NEW_BUILD}: stage {stage}, cap {cap}", flush=True)
         vote = await next_vote(world)
@@ -95,7 +95,7 @@
     host, _, port = address.rpartition(":")
     try:
         replies = asyncio.run(send_requests(host, int(port), count, seed))
-    except UnservedError as error:
+    except InstanceUnavailableError as error:
         typer.echo(f"ask: {error}", err=True)
         raise typer.Exit(UNSERVED_STATUS) from None
     for reply, number in sorted(replies.items()):
--- a/tests/test_configuration_refusals.py
+++ b/tests/test_configuration_refusals.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.support.stand import ROOT
+from tests.support.socket_scenarios import ROOT
 
 VALID = json.loads((ROOT / "examples/marshal.json").read_text())
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -10,7 +10,7 @@
 
 import gatebank.proxy
 from gatebank.proxy.log_events import EVENTS, STANDING_KEYS
-from tests.support.stand import ROOT
+from tests.support.socket_scenarios import ROOT
 
 CATALOGUE = {event.name: event for event in EVENTS}
 LOGGING_CALLS = ("log_kv", "log_event")
--- a/tests/test_operators_file.py
+++ b/tests/test_operators_file.py
@@ -8,7 +8,7 @@
 
 from gatebank.operator_config.operators_file import OperatorsFileError, read_operators_file
 from gatebank.replay.section import Target
-from tests.support.stand import ROOT
+from tests.support.socket_scenarios import ROOT
 
 BAD_FILES = {
     'recording(folder = "x", file_bytes = 3)': "1: recording: file_bytes = 3: Expected `int` >= 65536",
--- a/tests/test_unused_imports.py
+++ b/tests/test_unused_imports.py
@@ -6,7 +6,7 @@
 import sys
 
 from tests.support.program import PIPE
-from tests.support.stand import ROOT
+from tests.support.socket_scenarios import ROOT
 
 
 async def test_marshal_without_operators_file_imports_nothing_of_it() -> None:
--- a/tests/test_variant_tool.py
+++ b/tests/test_variant_tool.py
@@ -8,7 +8,7 @@
 import tomllib
 from pathlib import Path
 
-from tests.support.stand import ROOT
+from tests.support.socket_scenarios import ROOT
 
 SITE = """
 name = "shop"
