--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -178,7 +178,7 @@
     """Pack and read the state of so many endpoints."""
     balancer, _ = brain(nodes=endpoints)
     for node in balancer.state.endpoints.by_index.values():
-        node.results = 40
+        node.result_count = 40
         node.last_result_at = START
     names = IndexNames(balancer.state.settings, [f"node-{number:05d}" for number in range(endpoints + 1)])
     slices = []
--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -36,11 +36,11 @@
 from gatebank.core.fleet_view import ReceivedReport
 from gatebank.core.llr_sums import Statistic
 from gatebank.core.load import load_per_endpoint, outstanding_attempts
-from gatebank.core.measurement import learn_latency
+from gatebank.core.measurement import record_latency
 from gatebank.core.request_state import AttemptRecord, RequestState, SuspectedError
 from gatebank.core.state import AttemptKey, BalancerState
 from gatebank.events import (
-    NEVER_RAN,
+    NEVER_RUN_OUTCOMES,
     AttemptResult,
     BaselineErrors,
     Endpoint,
@@ -123,7 +123,7 @@
         state.traffic.accepted.add(state.now, request.request_class)
         state.traffic.arrivals.add(state.now, request.tenant)
         if not request.is_client_retry:
-            state.traffic.first_tries.add(state.now, None)
+            state.traffic.new_requests.add(state.now, None)
         request_class = state.settings.request_classes[request.request_class]
         in_hand = RequestState(request, request_class, state.now)
         state.requests[request.number] = in_hand
@@ -196,7 +196,7 @@
         if isinstance(message, InstanceReport):
             state.fleet.peer_reports[peer] = ReceivedReport(message, state.now)
         if state.test:
-            state.test.sums.merge_peer_sum(peer, message)
+            state.test.sums.merge_peer_message(peer, message)
             self._vote()
 
     def on_release_status(self, status: ReleaseStatus) -> None:
@@ -226,7 +226,7 @@
         inheritance.inherit_window(state, inherited)
         for index, inherited_endpoint in inherited.endpoints.items():
             endpoint = state.endpoints.by_index.get(index)
-            if endpoint is None or endpoint.results >= measurement.OWN_RESULTS:
+            if endpoint is None or endpoint.result_count >= measurement.OWN_RESULTS:
                 continue
             inheritance.inherit_endpoint(state, endpoint, inherited_endpoint, slow_start.PEER_RATE_S)
             eject = inherited_endpoint.ejected and not endpoint.ejected
@@ -310,10 +310,10 @@
         endpoint.silent_since = state.now
         endpoint.last_result_at = state.now
         endpoint.outstanding -= 1
-        endpoint.results += 1
+        endpoint.result_count += 1
         state.outstanding_by_endpoint.ended(endpoint, attempt.request_class)
         side = measurement.side_of(state, attempt)
-        learn_latency(state, attempt, result, side, measurement.LATENCY_WEIGHTS)
+        record_latency(state, attempt, result, side, measurement.LATENCY_WEIGHTS)
 
     def _attribute(self, request: RequestState | None, ended: SuspectedError) -> None:
         """Count a result against its endpoint and build.
@@ -340,7 +340,7 @@
         if outlier.should_eject(state, endpoint, result.outcome):
             self._eject(endpoint, 2 * endpoint.ejection_time)
             state.endpoints.groups.ejection_changed()
-        if result.outcome in NEVER_RAN:
+        if result.outcome in NEVER_RUN_OUTCOMES:
             return
         deltas = evidence.judge(state, attempt, result)
         if deltas is None:
@@ -364,7 +364,7 @@
         latencies = state.latencies
         latencies.before_canary = {} if is_first else evidence.known_latencies(state)
         latencies.load_before_canary = load_per_endpoint(state, outlier.UNRESPONSIVE_AT)
-        latencies.busy_until = state.now
+        latencies.backlog_until = state.now
         state.canary_seen = False
         for endpoint in state.endpoints.by_index.values():
             endpoint.latency_drift = NO_DRIFT
@@ -413,11 +413,13 @@
             state.test.sums.reset_unsent()
         outstanding = outstanding_attempts(state, outlier.UNRESPONSIVE_AT)
         loads = state.traffic.loads(measurement.RATE_WINDOW_S)
-        report = InstanceReport(state.incarnation, build, stage, state.traffic.rate, outstanding, loads, sums)
+        report = InstanceReport(
+            state.incarnation, build, stage, state.traffic.request_rate, outstanding, loads, sums
+        )
         self._send_to_fusers(report)
         if rollout.reports_fleet(state):
             reports = state.fleet.recent_reports(state.now - rollout.FLEET_MEMORY_S)
-            fleet_report = merge_reports([*reports, report], state.voting.leaning)
+            fleet_report = merge_reports([*reports, report], state.voting.preferred_verdict)
             self._take_fleet_report(state.settings.instance, fleet_report)
             self._send(None, fleet_report)
 
@@ -425,10 +427,10 @@
         state = self.state
         class_count = len(state.settings.request_classes)
         minimum = rollout.MIN_MEAN_ANSWERS
-        state.fleet.take(sender, report, state.now, class_count=class_count, minimum=minimum)
+        state.fleet.apply_report(sender, report, state.now, class_count=class_count, minimum=minimum)
         means = [estimate.mean for estimate in state.latencies.by_class]
-        longest = max(means + state.fleet.latencies())
-        state.latencies.longest = longest or measurement.LATENCY_WEIGHTS.default_longest
+        longest = max(means + state.fleet.mean_latencies())
+        state.latencies.longest_mean = longest or measurement.LATENCY_WEIGHTS.default_longest_mean
         state.fleet.held_up_classes = rollout.held_up_classes(state)
 
     # Time.
--- a/gatebank/composition.py
+++ b/gatebank/composition.py
@@ -44,12 +44,12 @@
     if operators is None:
         return OptionalParts()
     return OptionalParts(
-        make_recorder=recorder_maker(operators),
-        make_state_transfer=state_transfer_maker(operators),
+        make_recorder=recorder_factory(operators),
+        make_state_transfer=state_transfer_factory(operators),
     )
 
 
-def recorder_maker(operators: OperatorsFile) -> Callable[[Configuration], Recorder | None]:
+def recorder_factory(operators: OperatorsFile) -> Callable[[Configuration], Recorder | None]:
     """Makes the recorder, started, if the operators' file has a section for it."""
     from gatebank.recording.section import Recording
 
@@ -70,7 +70,7 @@
     return make
 
 
-def state_transfer_maker(
+def state_transfer_factory(
     operators: OperatorsFile,
 ) -> Callable[[Configuration, Dispatcher], StateTransfer | None]:
     """Makes state transfer between instances, listening, if the operators' file has a section for it."""
--- a/gatebank/core/endpoint_state.py
+++ b/gatebank/core/endpoint_state.py
@@ -7,18 +7,18 @@
 
 from gatebank.events import Endpoint, LatencyEstimate
 
-USUAL_RATIO = 1.0  # of an endpoint's times to the usual ones, while nothing is known
+NEUTRAL_LATENCY_RATIO = 1.0  # of an endpoint's times to the usual ones, while nothing is known
 
 
-class PeerColdRate(NamedTuple):
+class PeerSlowStartRate(NamedTuple):
     """Attempts a second that others send an endpoint that warms up, and until when this is believed."""
 
     rate: float
-    until: float
+    valid_until: float
 
 
-NO_DRIFT = LatencyEstimate(USUAL_RATIO, 0)
-NO_COLD_RATE = PeerColdRate(0.0, 0.0)
+NO_DRIFT = LatencyEstimate(NEUTRAL_LATENCY_RATIO, 0)
+NO_SLOW_START_RATE = PeerSlowStartRate(0.0, 0.0)
 
 
 @dataclass(slots=True, eq=False)
@@ -45,13 +45,13 @@
     outstanding: int = 0
     silent_since: float = 0.0
     last_result_at: float = 0.0
-    latency_ratio: float = USUAL_RATIO
+    latency_ratio: float = NEUTRAL_LATENCY_RATIO
     latency_drift: LatencyEstimate = NO_DRIFT
     failure_rate: float = 0.0
     ejected: bool = False
     ejection_time: float = 0.0
     passed_health_checks: int = 0
     slow_start_tokens: float = 0.0
-    tokens_at: float = 0.0
-    results: int = 0
-    peer_cold_rate: PeerColdRate = NO_COLD_RATE
+    tokens_updated_at: float = 0.0
+    result_count: int = 0
+    peer_slow_start_rate: PeerSlowStartRate = NO_SLOW_START_RATE
--- a/gatebank/core/endpoint_table.py
+++ b/gatebank/core/endpoint_table.py
@@ -60,4 +60,4 @@
 
     @staticmethod
     def _same_process(old: Endpoint, new: Endpoint) -> bool:
-        return old.started == new.started and old.build == new.build
+        return old.started_at == new.started_at and old.build == new.build
--- a/gatebank/core/inheritance.py
+++ b/gatebank/core/inheritance.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping, MutableMapping
 from typing import TypeVar
 
-from gatebank.core.endpoint_state import EndpointState, PeerColdRate
-from gatebank.core.latency import UNKNOWN
+from gatebank.core.endpoint_state import EndpointState, PeerSlowStartRate
+from gatebank.core.latency import UNKNOWN_LATENCY
 from gatebank.core.state import BalancerState
 from gatebank.events import InheritedEndpoint, InheritedState, LatencyEstimate
 
@@ -21,7 +21,7 @@
 def inherit_window(state: BalancerState, inherited: InheritedState) -> None:
     """The rows of the exposure window, or that they are not known."""
     window_end = state.started_at + state.settings.release.exposure_window
-    if inherited.window_known:
+    if inherited.exposure_window_known:
         state.no_spare_until = state.started_at
         for build in {row.build for row in inherited.sent}:
             rows = [
@@ -37,33 +37,33 @@
 
 
 def inherit_endpoint(
-    state: BalancerState, endpoint: EndpointState, inherited: InheritedEndpoint, believed_s: float
+    state: BalancerState, endpoint: EndpointState, inherited: InheritedEndpoint, validity_seconds: float
 ) -> None:
     """An endpoint's figures; the rate that others send it is believed for that many seconds."""
     endpoint.latency_ratio = inherited.latency_ratio
     endpoint.failure_rate = max(endpoint.failure_rate, inherited.failure_rate)
     endpoint.last_result_at = state.now
-    endpoint.peer_cold_rate = PeerColdRate(inherited.cold_rate, state.now + believed_s)
+    endpoint.peer_slow_start_rate = PeerSlowStartRate(inherited.slow_start_rate, state.now + validity_seconds)
 
 
 def inherit_means(state: BalancerState, inherited: InheritedState) -> None:
     """Usual times and the baseline's counts, where they are from more outcomes than this instance's own."""
     latencies = state.latencies
     by_class = dict(enumerate(latencies.by_class))
-    _take_better_known(by_class, inherited.latency)
+    _adopt_better_sampled(by_class, inherited.latency)
     latencies.by_class = list(by_class.values())
-    _take_better_known(latencies.baseline, inherited.baseline_latency)
+    _adopt_better_sampled(latencies.baseline, inherited.baseline_latency)
     for statistic, row in inherited.baseline_errors.items():
         own = state.baseline_errors[statistic]
         state.baseline_errors[statistic] = max(own, row, key=lambda each: each.total)
-    latencies.longest = max(latencies.longest, *(estimate.mean for estimate in latencies.by_class))
+    latencies.longest_mean = max(latencies.longest_mean, *(estimate.mean for estimate in latencies.by_class))
 
 
-def _take_better_known(
+def _adopt_better_sampled(
     own: MutableMapping[KeyT, LatencyEstimate], others: Mapping[KeyT, LatencyEstimate]
 ) -> None:
     for key, estimate in others.items():
-        if own.get(key, UNKNOWN).samples < estimate.samples:
+        if own.get(key, UNKNOWN_LATENCY).samples < estimate.samples:
             own[key] = estimate
 
 
@@ -77,4 +77,4 @@
     """Into the test at hand. The sums are whole, so that merging them again changes nothing."""
     if state.test:
         for instance, report in state.inherited_reports:
-            state.test.sums.merge_peer_sum(instance, report)
+            state.test.sums.merge_peer_message(instance, report)
--- a/gatebank/core/latency.py
+++ b/gatebank/core/latency.py
@@ -6,7 +6,7 @@
 
 from gatebank.events import LatencyEstimate
 
-UNKNOWN = LatencyEstimate(0.0, 0)
+UNKNOWN_LATENCY = LatencyEstimate(0.0, 0)
 
 
 class LatencyKey(NamedTuple):
@@ -39,9 +39,9 @@
     """
 
     def __init__(self, class_count: int) -> None:
-        self.by_class = [UNKNOWN] * class_count
-        self.longest = 1.0
+        self.by_class = [UNKNOWN_LATENCY] * class_count
+        self.longest_mean = 1.0
         self.baseline: dict[tuple[int, int], LatencyEstimate] = {}
         self.before_canary = self.baseline  # until a first canary comes, the times of now are those before it
         self.load_before_canary = 0.0
-        self.busy_until = 0.0
+        self.backlog_until = 0.0
--- a/gatebank/core/llr_sums.py
+++ b/gatebank/core/llr_sums.py
@@ -22,8 +22,8 @@
     """
 
     ERRORS = 0
-    LATE = 1  # beside the baseline
-    LATE_EVERYWHERE = 2  # beside the time before the canary came
+    LATE_VERSUS_BASELINE = 1  # beside the baseline
+    LATE_VERSUS_BEFORE_CANARY = 2  # beside the time before the canary came
     CONNECTIONS_LOST = 3  # on links to any build: a few by chance must not add up to errors
     FIRST_CLASS = 4  # and one for the errors of each request class
 
@@ -38,7 +38,7 @@
 
     factor: float
     extra: float
-    unknown_p0: float
+    default_p0: float
 
 
 class Quantization(NamedTuple):
@@ -79,13 +79,13 @@
         self.incarnation = incarnation
         self.floors = floors
         self.quantization = quantization
-        self.lasting = len(floors) - 1
+        self.cross_stage_statistic = len(floors) - 1
         self.own = [NO_SUM] * len(floors)
         self.unsent = [NO_SUM] * len(floors)
         self.fused = [0.0] * len(floors)
         self.outcomes = 0
-        self.by_peer: dict[PeerIncarnation, dict[int, LlrSum]] = {}
-        self.evidence: list[dict[int, float]] = [{} for _ in floors]
+        self.sums_by_peer: dict[PeerIncarnation, dict[int, LlrSum]] = {}
+        self.evidence_by_endpoint: list[dict[int, float]] = [{} for _ in floors]
 
     def add_evidence(self, statistic: int, step: float, outcomes: int, endpoint_hash: int | None) -> None:
         """Into the fused sum, held at its floor: what turns bad is not covered by its past."""
@@ -93,13 +93,13 @@
         self.fused[statistic] = max(floor, self.fused[statistic] + step)
         if statistic == 0:
             self.outcomes += outcomes
-        by_endpoint = self.evidence[statistic]
-        if statistic == self.lasting and self.fused[statistic] <= floor:
+        by_endpoint = self.evidence_by_endpoint[statistic]
+        if statistic == self.cross_stage_statistic and self.fused[statistic] <= floor:
             by_endpoint.clear()
         elif endpoint_hash is not None and step > 0:
             by_endpoint[endpoint_hash] = by_endpoint.get(endpoint_hash, 0.0) + step
 
-    def count_outcome(
+    def add_own_outcome(
         self, statistic: int, step: float, endpoint_hash: int, random: Callable[[], float]
     ) -> LlrDelta | None:
         """Add an outcome of this instance's own; past Δ, the message to tell."""
@@ -125,20 +125,22 @@
 
         What instances tell begins anew: a fuser that restarts knows what its stage shows.
         """
-        self.fused[self.lasting] = former.fused[self.lasting]
-        self.evidence[self.lasting] = former.evidence[self.lasting]
+        self.fused[self.cross_stage_statistic] = former.fused[self.cross_stage_statistic]
+        self.evidence_by_endpoint[self.cross_stage_statistic] = former.evidence_by_endpoint[
+            self.cross_stage_statistic
+        ]
 
     def reset_unsent(self) -> None:
         """A report told the whole sums: nothing is left to tell."""
         self.unsent = [NO_SUM] * len(self.unsent)
 
-    def merge_peer_sum(self, peer: int, message: LlrDelta | InstanceReport) -> None:
+    def merge_peer_message(self, peer: int, message: LlrDelta | InstanceReport) -> None:
         """Take in what a peer tells of this build and stage; anything else is passed over."""
         if (message.build, message.stage) != (short_build(self.build), self.stage):
             return
-        peer_sums = self.by_peer.setdefault(PeerIncarnation(peer, message.incarnation), {})
+        peer_sums = self.sums_by_peer.setdefault(PeerIncarnation(peer, message.incarnation), {})
         if isinstance(message, LlrDelta):
-            sums: Mapping[int, LlrSum] = {message.statistic: self._moved(peer_sums, message)}
+            sums: Mapping[int, LlrSum] = {message.statistic: self._sum_after_delta(peer_sums, message)}
             endpoint_hash: int | None = message.endpoint_hash
         else:  # whole sums: they heal lost, late and repeated deltas
             sums = message.sums
@@ -151,7 +153,7 @@
                     statistic, new.value - old.value, new.outcomes - old.outcomes, endpoint_hash
                 )
 
-    def _moved(self, peer_sums: Mapping[int, LlrSum], delta: LlrDelta) -> LlrSum:
+    def _sum_after_delta(self, peer_sums: Mapping[int, LlrSum], delta: LlrDelta) -> LlrSum:
         threshold, level_size, _ = self.quantization
         value, outcomes = peer_sums.get(delta.statistic, NO_SUM)
         size = threshold + (abs(delta.level) - 1) * level_size
--- a/gatebank/core/load.py
+++ b/gatebank/core/load.py
@@ -6,11 +6,11 @@
 from gatebank.core.state import BalancerState
 
 
-def silence(state: BalancerState, endpoint: EndpointState) -> float:
+def silence_ratio(state: BalancerState, endpoint: EndpointState) -> float:
     """For how many usual times attempts have been outstanding with no result."""
     if not endpoint.outstanding:
         return 0.0
-    return (state.now - max(endpoint.silent_since, state.resumed_at)) / state.latencies.longest
+    return (state.now - max(endpoint.silent_since, state.resumed_at)) / state.latencies.longest_mean
 
 
 def outstanding_attempts(state: BalancerState, unresponsive_at: float) -> int:
@@ -21,17 +21,17 @@
         unresponsive_at: the silence from which an endpoint counts as unresponsive.
     """
     return state.outstanding_by_endpoint.count(
-        state.fleet.held_up_classes, lambda endpoint: silence(state, endpoint) >= unresponsive_at
+        state.fleet.held_up_classes, lambda endpoint: silence_ratio(state, endpoint) >= unresponsive_at
     )
 
 
 def load_per_endpoint(state: BalancerState, unresponsive_at: float) -> float:
     """First tries a second, of all instances, for each endpoint that answers."""
     report = state.fleet.report
-    rate = report.request_rate if report else state.traffic.rate * state.settings.instance_count
+    rate = report.request_rate if report else state.traffic.request_rate * state.settings.instance_count
     groups = state.endpoints.groups
     silent = state.outstanding_by_endpoint.count_silent(
-        lambda endpoint: silence(state, endpoint) >= unresponsive_at,
+        lambda endpoint: silence_ratio(state, endpoint) >= unresponsive_at,
         lambda endpoint: not endpoint.ejected and groups.contains(endpoint),
     )
     return rate / max(1, groups.healthy_count() - silent)
--- a/gatebank/core/request_state.py
+++ b/gatebank/core/request_state.py
@@ -7,7 +7,7 @@
 
 from gatebank.core.endpoint_state import EndpointState
 from gatebank.core.latency import LatencyKey
-from gatebank.events import NEVER_RAN, AttemptResult, Outcome, Request
+from gatebank.events import NEVER_RUN_OUTCOMES, AttemptResult, Outcome, Request
 from gatebank.settings import RequestClass
 
 
@@ -67,7 +67,7 @@
     def attempts_that_may_have_run(self) -> list[Attempt]:
         """All but those whose outcome proves that they had no effect."""
         pairs = zip(self.attempts, self.outcomes, strict=True)
-        return [attempt for attempt, outcome in pairs if outcome not in NEVER_RAN]
+        return [attempt for attempt, outcome in pairs if outcome not in NEVER_RUN_OUTCOMES]
 
     def add_attempt(self, endpoint: EndpointState, now: float) -> None:
         """A new attempt, outstanding."""
--- a/gatebank/core/state.py
+++ b/gatebank/core/state.py
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from gatebank.policy.sequential_test import SequentialTest
 
-LONG_AGO = 1e9  # s: the age of an endpoint of which no start is told
+UNKNOWN_START_AGE_S = 1e9  # s: the age of an endpoint of which no start is told
 INCARNATION_BITS = 16
 
 
@@ -81,5 +81,5 @@
 
     def age(self, endpoint: EndpointState) -> float:
         """Seconds since the endpoint's process started."""
-        started = endpoint.listed.started
-        return self.now - started if started else LONG_AGO
+        started = endpoint.listed.started_at
+        return self.now - started if started else UNKNOWN_START_AGE_S
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -12,7 +12,7 @@
 class FinishedAttempt(NamedTuple):
     """An attempt that was answered or given up."""
 
-    at: float
+    finished_at: float
     key: LoadKey
     duration: float
     succeeded: bool
@@ -21,9 +21,9 @@
 class RateWindows(NamedTuple):
     """Over how long rates are counted, in seconds, and a tick's weight in the steady rate."""
 
-    whole: float
-    minimum: float
-    tick: float
+    window: float
+    min_window: float
+    tick_interval: float
     steady_weight: float
 
 
@@ -44,12 +44,12 @@
     def __init__(self) -> None:
         self.arrivals: SlidingWindow[int] = SlidingWindow()
         self.accepted: SlidingWindow[int] = SlidingWindow()
-        self.first_tries: SlidingWindow[None] = SlidingWindow()
+        self.new_requests: SlidingWindow[None] = SlidingWindow()
         self.served: SlidingWindow[int] = SlidingWindow()
         self.finished: deque[FinishedAttempt] = deque()
         self.sent: dict[int, SlidingWindow[int]] = {}
-        self.rate = 0.0
-        self.steady_rate = 0.0
+        self.request_rate = 0.0
+        self.smoothed_request_rate = 0.0
 
     def sent_to(self, build: int) -> SlidingWindow[int]:
         """The window of attempts at a build."""
@@ -63,17 +63,17 @@
         for window in (self.accepted, *self.sent.values()):
             window.forget(exposure_before)
         self.sent = {build: window for build, window in self.sent.items() if window}
-        while self.finished and self.finished[0].at < rates_before:
+        while self.finished and self.finished[0].finished_at < rates_before:
             self.finished.popleft()
         self.arrivals.forget(arrivals_before)
         self.served.forget(rates_before)
-        self.first_tries.forget(rates_before)
+        self.new_requests.forget(rates_before)
 
     def update_rates(self, since_start: float, windows: RateWindows) -> None:
         """The rates of first tries, as of now."""
-        self.rate = len(self.first_tries) / min(windows.whole, max(windows.minimum, since_start))
-        weight = max(windows.steady_weight, windows.tick / max(windows.tick, since_start))
-        self.steady_rate += (self.rate - self.steady_rate) * weight
+        self.request_rate = len(self.new_requests) / min(windows.window, max(windows.min_window, since_start))
+        weight = max(windows.steady_weight, windows.tick_interval / max(windows.tick_interval, since_start))
+        self.smoothed_request_rate += (self.request_rate - self.smoothed_request_rate) * weight
 
     def loads(self, window: float) -> dict[LoadKey, LoadSample]:
         """The finished attempts of a window of that many seconds, as load a second."""
@@ -83,7 +83,7 @@
             row = loads.get(finished.key, NO_LOAD)
             time = share * finished.duration
             loads[finished.key] = LoadSample(
-                row.answers + share * finished.succeeded,
+                row.answer_rate + share * finished.succeeded,
                 row.answer_time + time * finished.succeeded,
                 row.lost_time + time * (not finished.succeeded),
             )
--- a/gatebank/core/voting.py
+++ b/gatebank/core/voting.py
@@ -21,16 +21,16 @@
         self.voted_verdict = Verdict.NONE
         self.voted_at = now
         self.renew_at = now
-        self.leaning = Verdict.NONE
-        self.leaning_since = now
+        self.preferred_verdict = Verdict.NONE
+        self.preferred_since = now
 
-    def lean(self, verdict: Verdict, now: float) -> None:
+    def prefer(self, verdict: Verdict, now: float) -> None:
         """What present evidence says."""
-        if verdict is not self.leaning:
-            self.leaning = verdict
-            self.leaning_since = now
+        if verdict is not self.preferred_verdict:
+            self.preferred_verdict = verdict
+            self.preferred_since = now
 
-    def standing(self, test: object) -> Verdict:
+    def current_vote(self, test: object) -> Verdict:
         """The verdict voted for in this test."""
         return self.voted_verdict if self.voted_test is test else Verdict.NONE
 
--- a/gatebank/events.py
+++ b/gatebank/events.py
@@ -36,8 +36,12 @@
     NOT_SENT = "not sent"
 
 
-GIVEN_UP = (Outcome.TIMED_OUT, Outcome.CANCELLED)
-NEVER_RAN = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)  # such an attempt had no effect
+GIVEN_UP_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)
+NEVER_RUN_OUTCOMES = (
+    Outcome.REJECTED,
+    Outcome.NO_CONNECTION,
+    Outcome.NOT_SENT,
+)  # such an attempt had no effect
 
 
 class Condition(Enum):
@@ -105,7 +109,7 @@
     zone: int
     cell: int
     build: int
-    started: float | None
+    started_at: float | None
     condition: Condition
     weight: float
 
@@ -188,7 +192,7 @@
     failure_rate: float
     ejected: bool
     ejection_time: float
-    cold_rate: float
+    slow_start_rate: float
 
 
 class BaselineErrors(NamedTuple):
@@ -206,7 +210,7 @@
     samples: int
 
 
-class SentRow(NamedTuple):
+class InheritedAttempt(NamedTuple):
     """An attempt of the exposure window that a former incarnation started."""
 
     age: float
@@ -214,7 +218,7 @@
     build: int
 
 
-class AcceptedRow(NamedTuple):
+class InheritedRequest(NamedTuple):
     """A request of the exposure window that a former incarnation accepted."""
 
     age: float
@@ -240,6 +244,6 @@
     baseline_errors: Mapping[int, BaselineErrors]
     latency: Mapping[int, LatencyEstimate]
     baseline_latency: Mapping[tuple[int, int], LatencyEstimate]
-    sent: Sequence[SentRow]
-    accepted: Sequence[AcceptedRow]
-    window_known: bool
+    sent: Sequence[InheritedAttempt]
+    accepted: Sequence[InheritedRequest]
+    exposure_window_known: bool
--- a/gatebank/peer_messages.py
+++ b/gatebank/peer_messages.py
@@ -60,7 +60,7 @@
 class LoadSample(NamedTuple):
     """Answers a second, the seconds they took, and the seconds of attempts that were given up."""
 
-    answers: float
+    answer_rate: float
     answer_time: float
     lost_time: float
 
@@ -72,11 +72,11 @@
     outcomes: int
 
 
-class UsualLatency(NamedTuple):
+class MeanLatency(NamedTuple):
     """Seconds an answer takes, without and with the time of attempts that were given up."""
 
     per_answer: float
-    with_lost: float
+    including_given_up: float
 
 
 NO_LOAD = LoadSample(0.0, 0.0, 0.0)
@@ -136,7 +136,7 @@
         >>> loads = {LoadKey(1, 0, 1): LoadSample(2.0, 0.5, 3.0)}
         >>> loads[LoadKey(1, 1, 0)] = LoadSample(1.0, 0.5, 0.0)
         >>> FleetReport(9.0, 1.0, loads).by_request_class(2)[1]
-        LoadSample(answers=3.0, answer_time=1.0, lost_time=3.0)
+        LoadSample(answer_rate=3.0, answer_time=1.0, lost_time=3.0)
         """
         rows = [
             [row for key, row in self.loads.items() if key.request_class == each] for each in range(count)
@@ -145,20 +145,22 @@
             LoadSample(*(sum(column, 0.0) for column in zip(NO_LOAD, *each, strict=True))) for each in rows
         ]
 
-    def baseline_latency(self, minimum_answers: float) -> dict[tuple[int, int], UsualLatency]:
+    def baseline_latency(self, min_answer_rate: float) -> dict[tuple[int, int], MeanLatency]:
         """The baseline's times by request class and kind; none where it has fewer answers a second."""
         rows = {
             key[:2]: row
             for key, row in self.loads.items()
-            if key.side == BASELINE and row.answers >= minimum_answers
+            if key.side == BASELINE and row.answer_rate >= min_answer_rate
         }
         return {
-            key: UsualLatency(row.answer_time / row.answers, (row.answer_time + row.lost_time) / row.answers)
+            key: MeanLatency(
+                row.answer_time / row.answer_rate, (row.answer_time + row.lost_time) / row.answer_rate
+            )
             for key, row in rows.items()
         }
 
-    def canary_slowness(
-        self, baseline: Mapping[tuple[int, int], UsualLatency], minimum_answers: float
+    def canary_latency_ratio(
+        self, baseline: Mapping[tuple[int, int], MeanLatency], min_answer_rate: float
     ) -> float:
         """The time an answer takes the canary over the baseline's; 0 where too little is known of either.
 
@@ -168,7 +170,7 @@
         ...     LoadKey(0, 0, WARMING_UP): LoadSample(4.0, 9.0, 0.0),
         ... }
         >>> fleet = FleetReport(9.0, 1.0, rows)
-        >>> fleet.canary_slowness(fleet.baseline_latency(1.0), 1.0), fleet.canary_slowness({}, 1.0)
+        >>> fleet.canary_latency_ratio(fleet.baseline_latency(1.0), 1.0), fleet.canary_latency_ratio({}, 1.0)
         (2.0, 0.0)
         """
         answers = 0.0
@@ -176,10 +178,10 @@
         expected = 0.0
         for key, row in self.loads.items():
             if key.side == CANARY and key[:2] in baseline:
-                answers += row.answers
+                answers += row.answer_rate
                 taken = taken + row.answer_time + row.lost_time
-                expected += row.answers * baseline[key[:2]].with_lost
-        return taken / expected if answers >= minimum_answers and expected > 0 else 0.0
+                expected += row.answer_rate * baseline[key[:2]].including_given_up
+        return taken / expected if answers >= min_answer_rate and expected > 0 else 0.0
 
 
 PeerMessage = LlrDelta | InstanceReport | FleetReport
@@ -205,7 +207,7 @@
         for key, row in report.loads.items():
             total = loads.get(key, NO_LOAD)
             loads[key] = LoadSample(
-                total.answers + row.answers,
+                total.answer_rate + row.answer_rate,
                 total.answer_time + row.answer_time,
                 total.lost_time + row.lost_time,
             )
--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -27,7 +27,9 @@
     if report:  # where traffic is thin, the fleet's figures decide
         if request.request.request_class in held_up:
             return state.random() > HELD_UP_PROBE_SHARE
-        answers = max(0.5, sum(row.answers for w, row in enumerate(state.fleet.loads) if w not in held_up))
+        answers = max(
+            0.5, sum(row.answer_rate for w, row in enumerate(state.fleet.loads) if w not in held_up)
+        )
         in_fleet = (served * in_fleet + FLEET_WEIGHT * report.outstanding) / (served + FLEET_WEIGHT)
         outstanding = outstanding + FLEET_WEIGHT * report.outstanding / answers
         served += FLEET_WEIGHT
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -1,12 +1,17 @@
 """What an attempt's result says of builds: which LLRs it moves, and by how much."""
 
-from gatebank.core.latency import UNKNOWN
+from gatebank.core.latency import UNKNOWN_LATENCY
 from gatebank.core.llr_sums import Statistic
 from gatebank.core.load import load_per_endpoint
-from gatebank.core.measurement import count_baseline, learn_baseline_latency, learn_drift, median_slowness
+from gatebank.core.measurement import (
+    count_baseline_outcome,
+    median_latency_ratio,
+    record_baseline_latency,
+    record_latency_drift,
+)
 from gatebank.core.request_state import AttemptRecord
 from gatebank.core.state import BalancerState
-from gatebank.events import GIVEN_UP, AttemptResult, LatencyEstimate, Outcome, Phase
+from gatebank.events import GIVEN_UP_OUTCOMES, AttemptResult, LatencyEstimate, Outcome, Phase
 from gatebank.peer_messages import LlrDelta
 from gatebank.policy.outlier import EJECT_AT, UNRESPONSIVE_AT
 from gatebank.policy.sequential_test import SequentialTest, llr_step, odds_of
@@ -42,7 +47,7 @@
     """
     usual = _usual_latency(state, attempt.latency_key)
     late = result.duration > LATE_FACTOR * usual.mean
-    given_up_too_soon = result.outcome in GIVEN_UP and result.duration < LATE_FACTOR * usual.mean
+    given_up_too_soon = result.outcome in GIVEN_UP_OUTCOMES and result.duration < LATE_FACTOR * usual.mean
     if state.age(attempt.endpoint) < SETTLING_S or given_up_too_soon:
         return None
     in_trial = state.release is not None and state.release.phase is Phase.CANARY
@@ -54,13 +59,13 @@
     slower = False
     if state.test and compared:
         # Of the middle endpoints of canary and baseline; where traffic is thin, the fleet's.
-        slowness = state.fleet.canary_slowness or median_slowness(state, state.test.build)
+        slowness = state.fleet.canary_latency_ratio or median_latency_ratio(state, state.test.build)
         slower = usual.samples >= RELIABLE_SAMPLES and slowness > SLOWER_CANARY
         if _has_drift(state, state.test, attempt, result):
             late_drift = _late_by_drift(state, attempt, result) and slowness > QUICKER_CANARY
-            deltas.append(_move(state, state.test, Statistic.LATE_EVERYWHERE, attempt, late_drift))
+            deltas.append(_move(state, state.test, Statistic.LATE_VERSUS_BEFORE_CANARY, attempt, late_drift))
     if result.outcome is Outcome.SUCCESS and timed and (of_baseline or not in_trial):
-        learn_baseline_latency(state, attempt.latency_key, result.duration, BASELINE_LATENCY_WEIGHT)
+        record_baseline_latency(state, attempt.latency_key, result.duration, BASELINE_LATENCY_WEIGHT)
     if of_baseline or not (in_trial or state.canary_seen):
         _count_baseline(state, attempt, result, late and usual.mean > 0)
     elif state.test and attempt.build == state.test.build:
@@ -69,12 +74,12 @@
             outcomes += ((state.test.oldest, result.outcome is Outcome.ERROR),)
         deltas += [_move(state, state.test, statistic, attempt, bad) for statistic, bad in outcomes]
         if compared and usual.samples >= RELIABLE_SAMPLES:
-            deltas.append(_move(state, state.test, Statistic.LATE, attempt, late and slower))
+            deltas.append(_move(state, state.test, Statistic.LATE_VERSUS_BASELINE, attempt, late and slower))
     return [delta for delta in deltas if delta]
 
 
 def _usual_latency(state: BalancerState, key: tuple[int, int]) -> LatencyEstimate:
-    own = state.latencies.baseline.get(key, UNKNOWN)
+    own = state.latencies.baseline.get(key, UNKNOWN_LATENCY)
     if own.samples < RELIABLE_SAMPLES and key in state.fleet.baseline_latency:
         return LatencyEstimate(state.fleet.baseline_latency[key].per_answer, RELIABLE_SAMPLES)
     return own
@@ -98,22 +103,22 @@
     """Whether an answer can be held against the time before the canary came; silence is not slowness."""
     needed = min(MIN_OUTCOMES, MIN_OUTCOMES_OF_ALL / state.settings.instance_count)
     met = test.sums.own[Statistic.ERRORS].outcomes >= needed
-    before = state.latencies.before_canary.get(attempt.latency_key, UNKNOWN).mean
+    before = state.latencies.before_canary.get(attempt.latency_key, UNKNOWN_LATENCY).mean
     return met and result.outcome is Outcome.SUCCESS and before > 0
 
 
 def _late_by_drift(state: BalancerState, attempt: AttemptRecord, result: AttemptResult) -> bool:
     """Late, with no more traffic than before: a build may slow all, and has no contrast beside it then."""
     before = state.latencies.before_canary[attempt.latency_key].mean
-    drift = learn_drift(state, attempt.endpoint, result.duration / before, DRIFT_WEIGHT)
-    calm = state.now >= state.latencies.busy_until
+    drift = record_latency_drift(state, attempt.endpoint, result.duration / before, DRIFT_WEIGHT)
+    calm = state.now >= state.latencies.backlog_until
     return calm and drift > DRIFT and result.duration > LATE_EVERYWHERE_FACTOR * before
 
 
 def watch_load(state: BalancerState) -> None:
     """See whether there is more traffic than before the canary came; what waits outlasts a burst."""
     if load_per_endpoint(state, UNRESPONSIVE_AT) >= BUSIER * state.latencies.load_before_canary:
-        state.latencies.busy_until = state.now + BACKLOG_S
+        state.latencies.backlog_until = state.now + BACKLOG_S
 
 
 def _error_statistics(attempt: AttemptRecord, result: AttemptResult) -> tuple[tuple[int, bool], ...]:
@@ -125,9 +130,9 @@
 
 def _count_baseline(state: BalancerState, attempt: AttemptRecord, result: AttemptResult, late: bool) -> None:
     """What fails here too from now on is no fault of the canary; at failing endpoints it might hide it."""
-    outcomes = (*_error_statistics(attempt, result), (Statistic.LATE, late))
+    outcomes = (*_error_statistics(attempt, result), (Statistic.LATE_VERSUS_BASELINE, late))
     healthy = attempt.endpoint.failure_rate < EJECT_AT
-    count_baseline(state.baseline_errors, outcomes, healthy, FADE, RECENT_WEIGHT)
+    count_baseline_outcome(state.baseline_errors, outcomes, healthy, FADE, RECENT_WEIGHT)
 
 
 def _move(
@@ -136,16 +141,16 @@
     """Count one outcome in one LLR; past Δ, what to tell the fusers."""
     odds_of_statistic = test.same_odds_as.get(statistic, statistic)
     step = llr_step(odds_of_statistic, bad, _p0(state, odds_of_statistic))
-    if statistic == Statistic.LATE_EVERYWHERE and state.fleet.report:
+    if statistic == Statistic.LATE_VERSUS_BEFORE_CANARY and state.fleet.report:
         step *= min(1.0, INDEPENDENT_FLEET_RATE / max(1.0, state.fleet.report.request_rate))
-    elif statistic == Statistic.LATE:
+    elif statistic == Statistic.LATE_VERSUS_BASELINE:
         step *= min(1.0, INDEPENDENT_ENDPOINT_RATE / max(1.0, load_per_endpoint(state, UNRESPONSIVE_AT)))
-    return test.sums.count_outcome(statistic, step, attempt.endpoint.listed.name_hash, state.random)
+    return test.sums.add_own_outcome(statistic, step, attempt.endpoint.listed.name_hash, state.random)
 
 
 def _p0(state: BalancerState, statistic: int) -> float:
     """The baseline's share of bad outcomes; of errors at least its recent one."""
     row = state.baseline_errors[statistic]
-    share = row.bad / row.total if row.total >= RELIABLE_SAMPLES else odds_of(statistic).unknown_p0
+    share = row.bad / row.total if row.total >= RELIABLE_SAMPLES else odds_of(statistic).default_p0
     p0 = min(MAX_P0, max(MIN_P0, share))
-    return p0 if statistic == Statistic.LATE else max(p0, min(MAX_RECENT_P0, row.recent_rate))
+    return p0 if statistic == Statistic.LATE_VERSUS_BASELINE else max(p0, min(MAX_RECENT_P0, row.recent_rate))
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -18,7 +18,7 @@
     policy = state.settings.release
     release = state.release if state.release is not None and state.release.build == build else None
     cap, stage = (release.cap, release.stage or 0) if release else (policy.caps[0], 0)
-    shielded = stage < policy.shielded_stages
+    shielded = stage < policy.idempotent_only_stages
     if not cap or (shielded and request.request_class.retry_safety is not RetrySafety.IDEMPOTENT):
         return False
     classes = (request.request.request_class,) if policy.counts_by_class else ()
--- a/gatebank/policy/outlier.py
+++ b/gatebank/policy/outlier.py
@@ -3,7 +3,7 @@
 from math import exp
 
 from gatebank.core.endpoint_state import EndpointState
-from gatebank.core.load import silence
+from gatebank.core.load import silence_ratio
 from gatebank.core.state import BalancerState
 from gatebank.events import Outcome
 
@@ -51,4 +51,4 @@
     fade = exp((endpoint.last_result_at - state.now) / MEMORY_S)
     slow = 1 + (endpoint.latency_ratio - 1) * fade
     shown = slow * (1 + FAILURE_PENALTY * endpoint.failure_rate * fade)
-    return (endpoint.outstanding + 1) * shown * (1 + max(0.0, silence(state, endpoint) - 2))
+    return (endpoint.outstanding + 1) * shown * (1 + max(0.0, silence_ratio(state, endpoint) - 2))
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -43,7 +43,7 @@
 
 def held_up_classes(state: BalancerState) -> set[int]:
     """Classes late by themselves, while another is quick: they wait for what no endpoint mends."""
-    latencies = state.fleet.latencies()
+    latencies = state.fleet.mean_latencies()
     quick = HELD_UP_FACTOR * min(filter(None, latencies), default=0.0)
     pairs = enumerate(zip(state.settings.request_classes, latencies, strict=False))
     return {w for w, (each, latency) in pairs if latency > max(each.latency_objective, quick)}
@@ -83,11 +83,11 @@
     if verdict is None:
         return None
     voting = state.voting
-    voting.lean(verdict, state.now)
-    standing = voting.standing(state.test)
+    voting.prefer(verdict, state.now)
+    standing = voting.current_vote(state.test)
     due = voting.renew_at
     if verdict is not standing:
-        due = voting.leaning_since + _turn(state, max(1, needed.get(verdict, 1)), many=many)
+        due = voting.preferred_since + _turn(state, max(1, needed.get(verdict, 1)), many=many)
     if verdict is not Verdict.ROLL_BACK:
         due = max(due, voting.voted_at + VOTE_EVERY_S)
     in_vain = verdict is Verdict.PROMOTE and not policy.promote_votes  # stages advance by the clock
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -77,7 +77,7 @@
     settings = state.settings
     idle_timeout = settings.limits.connection_idle_timeout
     idle = NO_IDLE_TIMEOUT_S if idle_timeout is None else idle_timeout
-    share = state.traffic.steady_rate * idle / MEETINGS * size / max(1, len(state.endpoints.ready))
+    share = state.traffic.smoothed_request_rate * idle / MEETINGS * size / max(1, len(state.endpoints.ready))
     width = max(MIN_SUBSET, share)
     if width >= size or settings.instance_count * width < MIN_COVERAGE * size:
         return state.sample(endpoints, min(2, size))
--- a/gatebank/policy/slow_start.py
+++ b/gatebank/policy/slow_start.py
@@ -29,14 +29,18 @@
     if is_warm(state, endpoint):
         return True
     slow_start = state.settings.slow_start
-    served_rate = min(state.traffic.rate, SERVED_RATE_PER_WINDOW * len(state.traffic.served))
+    served_rate = min(state.traffic.request_rate, SERVED_RATE_PER_WINDOW * len(state.traffic.served))
     fair = served_rate / max(1, len(state.endpoints.ready))
     allowed = slow_start.overload_multiple * minimum_capacity(state, endpoint) * fair  # attempts a second
-    peers = endpoint.peer_cold_rate
-    if state.now < peers.until:  # others send it more than this instance's own traffic would tell
+    peers = endpoint.peer_slow_start_rate
+    if state.now < peers.valid_until:  # others send it more than this instance's own traffic would tell
         allowed = min(allowed, max(0.0, allowed * state.settings.instance_count - 2 * peers.rate))
     first = min(1.0, state.random() + FIRST_BURST_WINDOWS * allowed * slow_start.overload_window)
-    refill = BUDGET_SHARE * allowed * (state.now - endpoint.tokens_at) if endpoint.tokens_at else first
+    refill = (
+        BUDGET_SHARE * allowed * (state.now - endpoint.tokens_updated_at)
+        if endpoint.tokens_updated_at
+        else first
+    )
     endpoint.slow_start_tokens = min(MAX_TOKENS, endpoint.slow_start_tokens + refill)
-    endpoint.tokens_at = state.now
+    endpoint.tokens_updated_at = state.now
     return endpoint.slow_start_tokens >= 1.0
--- a/gatebank/proxy/control_plane_view.py
+++ b/gatebank/proxy/control_plane_view.py
@@ -37,7 +37,7 @@
     def key(self, endpoint: Endpoint) -> EndpointKey:
         """Which process a listed endpoint is."""
         address = self.registry.addresses[endpoint.index]
-        return EndpointKey(endpoint.index, address, endpoint.build, endpoint.started)
+        return EndpointKey(endpoint.index, address, endpoint.build, endpoint.started_at)
 
     def cap(self, build: int) -> float:
         """The share of traffic that a build may take: below 1 for the newest before it is released."""
--- a/gatebank/settings.py
+++ b/gatebank/settings.py
@@ -15,7 +15,7 @@
 
 SECONDS_PER_MILLISECOND = 0.001
 UNLIMITED_RATE = 1e9  # per second, where the settings name no limit
-RETRY_SAFETY = {
+RETRY_SAFETY_BY_NAME = {
     "free": RetrySafety.IDEMPOTENT,
     "guarded": RetrySafety.KEYED,
     "single_shot": RetrySafety.NON_IDEMPOTENT,
@@ -102,7 +102,7 @@
     exposure_window: float = 0.0
     spare_attempts: float = 0
     sticky_keys: bool = False
-    shielded_stages: int = 0
+    idempotent_only_stages: int = 0
     promote_votes: int = 1
     rollback_votes: int = 1
     votes_per_second: float = UNLIMITED_RATE
@@ -182,7 +182,7 @@
         name=given.get("name", default_name),
         **section.present(priority_weight="worth", retry_group="group"),
         **section.seconds(latency_objective="on-time-ms", deadline="deadline-ms", retry_window="window-ms"),
-        retry_safety=RETRY_SAFETY[given["semantics"]],
+        retry_safety=RETRY_SAFETY_BY_NAME[given["semantics"]],
     )
 
 
@@ -216,7 +216,7 @@
             caps="caps",
             spare_attempts="spare-tries",
             sticky_keys="keys-stay",
-            shielded_stages="shielded",
+            idempotent_only_stages="shielded",
             promote_votes="ayes-needed",
             rollback_votes="back-votes",
             votes_per_second="api-rate",
--- a/gatebank/state_transfer/index_names.py
+++ b/gatebank/state_transfer/index_names.py
@@ -10,8 +10,8 @@
 
 RATIO_NAMES = {
     Statistic.ERRORS: "broke",
-    Statistic.LATE: "late",
-    Statistic.LATE_EVERYWHERE: "everywhere",
+    Statistic.LATE_VERSUS_BASELINE: "late",
+    Statistic.LATE_VERSUS_BEFORE_CANARY: "everywhere",
     Statistic.CONNECTIONS_LOST: "cut",
 }  # as they are stored
 ERRORS_OF_CLASS = "errors:"  # and the class's name
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -8,16 +8,16 @@
 from gatebank.core.llr_sums import Statistic
 from gatebank.core.state import BalancerState
 from gatebank.events import (
-    AcceptedRow,
     BaselineErrors,
     Condition,
+    InheritedAttempt,
     InheritedEndpoint,
+    InheritedRequest,
     InheritedState,
     LatencyEstimate,
     Phase,
     ReleaseStatus,
     ReplyStatus,
-    SentRow,
 )
 from gatebank.peer_messages import InstanceReport, LlrSum
 from gatebank.state_transfer.index_names import IndexNames, Origin
@@ -107,7 +107,7 @@
             listed = endpoint.listed
             name = self.names.endpoints[index]
             if listed.condition is Condition.READY and name is not None:
-                processes[name] = EndpointProcess(name, listed.build, listed.started)
+                processes[name] = EndpointProcess(name, listed.build, listed.started_at)
         window = self.state.settings.release.exposure_window
         found = merge_items(self.received.items(now), processes, self.origin.name, window, self.half_lives)
         found.window_known = self.window_known
@@ -127,7 +127,7 @@
                     failure_rate=belief.failure_rate,
                     ejected=belief.ejected,
                     ejection_time=belief.ejection_time,
-                    cold_rate=belief.slow_start_rate,
+                    slow_start_rate=belief.slow_start_rate,
                 )
                 for name, belief in merged.endpoints.items()
                 if name in indices
@@ -140,7 +140,7 @@
             baseline_latency=baseline_latency,
             sent=sent,
             accepted=accepted,
-            window_known=merged.window_known,
+            exposure_window_known=merged.window_known,
         )
 
     def class_indices(self) -> dict[str, int]:
@@ -182,18 +182,20 @@
                 found.append((item.instance, report))
         return found
 
-    def window(self, merged: MergedState, now: float) -> tuple[list[SentRow], list[AcceptedRow]]:
+    def window(
+        self, merged: MergedState, now: float
+    ) -> tuple[list[InheritedAttempt], list[InheritedRequest]]:
         """Attempts and requests of a former incarnation in the exposure window, aged from this start."""
         classes = self.class_indices()
         window = self.state.settings.release.exposure_window
         since_start = now - self.state.started_at
         sent = [
-            SentRow(item.age - since_start, classes[item.request_class], item.build)
+            InheritedAttempt(item.age - since_start, classes[item.request_class], item.build)
             for item in merged.sent
             if item.request_class in classes and 0 <= item.age - since_start <= window
         ]
         accepted = [
-            AcceptedRow(item.age - since_start, classes[item.request_class])
+            InheritedRequest(item.age - since_start, classes[item.request_class])
             for item in merged.admitted
             if item.request_class in classes and 0 <= item.age - since_start <= window
         ]
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -89,8 +89,8 @@
         merged = self.inherited.merged(now)
         state = self.inherited.inherited_state(merged, now)
         if self.window_applied:
-            state = replace(state, sent=(), accepted=(), window_known=False)
-        self.window_applied = self.window_applied or state.window_known
+            state = replace(state, sent=(), accepted=(), exposure_window_known=False)
+        self.window_applied = self.window_applied or state.exposure_window_known
         self.dispatcher.dispatch(self.balancer.apply_inherited_state, state)
         self.restrain(merged.release)
 
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -94,7 +94,7 @@
         rows = [
             (self.names.endpoints[index], endpoint)
             for index, endpoint in self.state.endpoints.by_index.items()
-            if endpoint.results
+            if endpoint.result_count
         ]
         return [(name, endpoint) for name, endpoint in rows if name]
 
@@ -104,7 +104,7 @@
         A former incarnation's single rows are of use to nobody but a later start of that name, from its own
         snapshot.
         """
-        seen = {name for name, endpoint in endpoints if endpoint.results >= OWN_RESULTS}
+        seen = {name for name, endpoint in endpoints if endpoint.result_count >= OWN_RESULTS}
         items = self.inherited.items(self.now) if self.inherited else []
         return [
             item
@@ -136,8 +136,8 @@
         for attempt in self.state.outstanding.values():
             listed = attempt.endpoint.listed
             name = self.names.endpoints[listed.index]
-            if name and listed.started and self.now - listed.started < limit:
-                process = EndpointProcess(name, listed.build, listed.started)
+            if name and listed.started_at and self.now - listed.started_at < limit:
+                process = EndpointProcess(name, listed.build, listed.started_at)
                 counts[process] = counts.get(process, 0) + 1
         for process, count in counts.items():
             yield SlowStartRate(
@@ -145,7 +145,7 @@
                 incarnation=self.origin.incarnation,
                 age=0.0,
                 outcomes=count,
-                rate=min(MAX_RATE, count / max(MIN_ATTEMPT_TIME, self.state.latencies.longest)),
+                rate=min(MAX_RATE, count / max(MIN_ATTEMPT_TIME, self.state.latencies.longest_mean)),
                 endpoint=process.name,
                 build=process.build,
                 started=process.started or 0.0,
@@ -157,10 +157,10 @@
             origin=self.origin.name,
             incarnation=self.origin.incarnation,
             age=max(0.0, self.now - endpoint.last_result_at),
-            outcomes=endpoint.results,
+            outcomes=endpoint.result_count,
             endpoint=name,
             build=endpoint.listed.build,
-            started=endpoint.listed.started,
+            started=endpoint.listed.started_at,
             latency_ratio=min(MAX_RATIO, max(0.0, endpoint.latency_ratio)),
             failure_rate=min(1.0, max(0.0, endpoint.failure_rate)),
             ejected=endpoint.ejected,
@@ -237,7 +237,7 @@
             return
         own = {statistic: each for statistic, each in enumerate(test.sums.own) if each.outcomes}
         instance = self.state.settings.instance
-        rows = {PeerIncarnation(instance, self.state.incarnation): own, **test.sums.by_peer}
+        rows = {PeerIncarnation(instance, self.state.incarnation): own, **test.sums.sums_by_peer}
         for (peer, incarnation), sums in rows.items():
             ratios = {
                 statistic: RatioSum(value, min(MAX_OUTCOMES, outcomes))
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -33,7 +33,7 @@
 
     def contain(self, endpoint: EndpointState) -> bool:
         """Whether an endpoint of that build is one of them; if no start is told, it is."""
-        return (endpoint.listed.started or 0.0) <= self.started_until
+        return (endpoint.listed.started_at or 0.0) <= self.started_until
 
 
 class MedianKey(NamedTuple):
@@ -98,7 +98,7 @@
         key = build, minimum, together_s
         found = self._oldest.get(key)
         if found is None:
-            starts = sorted(each.listed.started or 0.0 for each in self.by_build.get(build, ()))
+            starts = sorted(each.listed.started_at or 0.0 for each in self.by_build.get(build, ()))
             until = starts[min(minimum, len(starts)) - 1] + together_s if starts else 0.0
             found = self._oldest[key] = OldestEndpoints(until, bisect_right(starts, until))
         return found
@@ -172,14 +172,14 @@
     __slots__ = ("_cold", "_warm")
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
-        started = [each for each in endpoints if each.listed.started]
-        others = [each for each in endpoints if not each.listed.started]
-        self._cold = sorted(started, key=lambda each: each.listed.started or 0.0, reverse=True)
+        started = [each for each in endpoints if each.listed.started_at]
+        others = [each for each in endpoints if not each.listed.started_at]
+        self._cold = sorted(started, key=lambda each: each.listed.started_at or 0.0, reverse=True)
         self._warm = others[:1] * len(others)
 
     def warm_count(self, now: float, warm_up: float) -> int:
         """How many are warm."""
-        while self._cold and now - (self._cold[-1].listed.started or 0.0) >= warm_up:
+        while self._cold and now - (self._cold[-1].listed.started_at or 0.0) >= warm_up:
             self._warm.append(self._cold.pop())
         return len(self._warm)
 
