--- a/gatebank/actions.py
+++ b/gatebank/actions.py
@@ -42,7 +42,7 @@
 
     request: int
     endpoint: int
-    until: float | None
+    give_up_at: float | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,7 +72,7 @@
 class StartTimer:
     """Call ``on_timer`` with this timer at a time in the balancer's seconds."""
 
-    at: float
+    due_at: float
     timer: Timer
 
 
--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -81,7 +81,7 @@
         statistic_count = Statistic.FIRST_CLASS + len(settings.request_classes)
         self.state.baseline_errors = [NO_ERRORS] * statistic_count
         self._fusers = rollout.fusers(settings.instance_count)
-        self._ticks = settings.instance
+        self._tick_count = settings.instance
         self._timer_generation = 0
         self.actions: list[Action] = []
         if settings.polls_endpoints:
@@ -141,7 +141,7 @@
         request = state.requests.get(number)
         attempt = state.outstanding.pop(AttemptKey(number, result.attempt), None)
         if attempt:
-            self._learn(attempt, result)
+            self._record_result(attempt, result)
             self._attribute(request, SuspectedError(attempt, result))
         if request is None:
             return
@@ -191,7 +191,7 @@
         if peer in self._fusers:
             state.fleet.last_fuser_message_at = state.now
         if isinstance(message, FleetReport):
-            self._take_fleet_report(peer, message)
+            self._apply_fleet_report(peer, message)
             return
         if isinstance(message, InstanceReport):
             state.fleet.peer_reports[peer] = ReceivedReport(message, state.now)
@@ -251,7 +251,7 @@
         if is_canary and not exposure.cap_allows(state, request, record.build, more=0):
             return False
         started_at = request.attempts[attempt].started_at
-        state.traffic.sent_to(record.build).move(started_at, record.request_class, state.now)
+        state.traffic.attempts_to(record.build).move(started_at, record.request_class, state.now)
         return True
 
     # A request's way.
@@ -280,7 +280,7 @@
         key = AttemptKey(number, len(request.attempts))
         state.outstanding[key] = AttemptRecord(endpoint, build, request_class)
         state.outstanding_by_endpoint.started(endpoint, request_class)
-        state.traffic.sent_to(build).add(state.now, request_class)
+        state.traffic.attempts_to(build).add(state.now, request_class)
         request.add_attempt(endpoint, state.now)
         if not endpoint.outstanding:
             endpoint.silent_since = state.now
@@ -304,7 +304,7 @@
 
     # What results teach.
 
-    def _learn(self, attempt: AttemptRecord, result: AttemptResult) -> None:
+    def _record_result(self, attempt: AttemptRecord, result: AttemptResult) -> None:
         state = self.state
         endpoint = attempt.endpoint
         endpoint.silent_since = state.now
@@ -328,12 +328,12 @@
         if request and has_others and outcome is Outcome.ERROR:
             request.suspected_errors = [*suspected, ended]
             return
-        self._charge(*ended)
+        self._count_against_endpoint(*ended)
         if outcome is Outcome.SUCCESS:
             for each in suspected:
-                self._charge(*each)
+                self._count_against_endpoint(*each)
 
-    def _charge(self, attempt: AttemptRecord, result: AttemptResult) -> None:
+    def _count_against_endpoint(self, attempt: AttemptRecord, result: AttemptResult) -> None:
         state = self.state
         endpoint = attempt.endpoint
         outlier.update_failure_rate(endpoint, result.outcome)
@@ -349,10 +349,10 @@
             self._send_to_fusers(delta)
         self._vote()
 
-    def _eject(self, endpoint: EndpointState, wanted_time: float, check_after: float | None = None) -> None:
+    def _eject(self, endpoint: EndpointState, ejection_time: float, check_after: float | None = None) -> None:
         endpoint.ejected = True
         endpoint.passed_health_checks = 0
-        endpoint.ejection_time = outlier.ejection_time(wanted_time)
+        endpoint.ejection_time = outlier.ejection_time(ejection_time)
         delay = endpoint.ejection_time if check_after is None else check_after
         self._start_timer(delay, EjectionTimer(endpoint.listed.index))
 
@@ -400,7 +400,7 @@
         for fuser in self._fusers:
             self._send(fuser, message)
 
-    def _report(self) -> None:
+    def _send_report(self) -> None:
         """The design's remainder, as whole sums, and this instance's load; one fuser tells the fleet's."""
         state = self.state
         build = 0
@@ -420,10 +420,10 @@
         if rollout.reports_fleet(state):
             reports = state.fleet.recent_reports(state.now - rollout.FLEET_MEMORY_S)
             fleet_report = merge_reports([*reports, report], state.voting.preferred_verdict)
-            self._take_fleet_report(state.settings.instance, fleet_report)
+            self._apply_fleet_report(state.settings.instance, fleet_report)
             self._send(None, fleet_report)
 
-    def _take_fleet_report(self, sender: int, report: FleetReport) -> None:
+    def _apply_fleet_report(self, sender: int, report: FleetReport) -> None:
         state = self.state
         class_count = len(state.settings.request_classes)
         minimum = rollout.MIN_MEAN_ANSWERS
@@ -448,7 +448,7 @@
             state.fleet.forget_report()
         if state.test:
             evidence.watch_load(state)
-        self._ticks += 1
-        if rollout.report_is_due(state, self._ticks):
-            self._report()
+        self._tick_count += 1
+        if rollout.report_is_due(state, self._tick_count):
+            self._send_report()
         self._vote()
--- a/gatebank/core/inheritance.py
+++ b/gatebank/core/inheritance.py
@@ -29,7 +29,7 @@
                 for row in inherited.sent
                 if row.build == build
             ]
-            state.traffic.sent_to(build).add_before(rows)
+            state.traffic.attempts_to(build).add_before(rows)
         accepted = [(state.started_at - row.age, row.request_class) for row in inherited.accepted]
         state.traffic.accepted.add_before(accepted)
     elif state.now < window_end:
--- a/gatebank/core/measurement.py
+++ b/gatebank/core/measurement.py
@@ -26,7 +26,7 @@
     """
 
     mean: float
-    ratio: float
+    endpoint_ratio: float
     default_longest_mean: float
 
 
@@ -45,7 +45,9 @@
         state.traffic.finished.append(FinishedAttempt(state.now, key, result.duration, succeeded))
         endpoint = attempt.endpoint
         old = endpoint.latency_ratio
-        endpoint.latency_ratio += (result.duration / (mean or result.duration or 1.0) - old) * weights.ratio
+        endpoint.latency_ratio += (
+            result.duration / (mean or result.duration or 1.0) - old
+        ) * weights.endpoint_ratio
         state.endpoints.groups.value_changed(LATENCY_RATIO, endpoint, old, endpoint.latency_ratio)
 
 
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -47,22 +47,22 @@
         self.new_requests: SlidingWindow[None] = SlidingWindow()
         self.served: SlidingWindow[int] = SlidingWindow()
         self.finished: deque[FinishedAttempt] = deque()
-        self.sent: dict[int, SlidingWindow[int]] = {}
+        self.attempts_by_build: dict[int, SlidingWindow[int]] = {}
         self.request_rate = 0.0
         self.smoothed_request_rate = 0.0
 
-    def sent_to(self, build: int) -> SlidingWindow[int]:
+    def attempts_to(self, build: int) -> SlidingWindow[int]:
         """The window of attempts at a build."""
-        window = self.sent.get(build)
+        window = self.attempts_by_build.get(build)
         if window is None:
-            window = self.sent[build] = SlidingWindow()
+            window = self.attempts_by_build[build] = SlidingWindow()
         return window
 
     def forget(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
         """Drop what is older than these times."""
-        for window in (self.accepted, *self.sent.values()):
+        for window in (self.accepted, *self.attempts_by_build.values()):
             window.forget(exposure_before)
-        self.sent = {build: window for build, window in self.sent.items() if window}
+        self.attempts_by_build = {build: window for build, window in self.attempts_by_build.items() if window}
         while self.finished and self.finished[0].finished_at < rates_before:
             self.finished.popleft()
         self.arrivals.forget(arrivals_before)
@@ -85,6 +85,6 @@
             loads[finished.key] = LoadSample(
                 row.answer_rate + share * finished.succeeded,
                 row.answer_time + time * finished.succeeded,
-                row.lost_time + time * (not finished.succeeded),
+                row.given_up_time + time * (not finished.succeeded),
             )
         return loads
--- a/gatebank/peer_messages.py
+++ b/gatebank/peer_messages.py
@@ -62,7 +62,7 @@
 
     answer_rate: float
     answer_time: float
-    lost_time: float
+    given_up_time: float
 
 
 class LlrSum(NamedTuple):
@@ -136,7 +136,7 @@
         >>> loads = {LoadKey(1, 0, 1): LoadSample(2.0, 0.5, 3.0)}
         >>> loads[LoadKey(1, 1, 0)] = LoadSample(1.0, 0.5, 0.0)
         >>> FleetReport(9.0, 1.0, loads).by_request_class(2)[1]
-        LoadSample(answer_rate=3.0, answer_time=1.0, lost_time=3.0)
+        LoadSample(answer_rate=3.0, answer_time=1.0, given_up_time=3.0)
         """
         rows = [
             [row for key, row in self.loads.items() if key.request_class == each] for each in range(count)
@@ -154,7 +154,7 @@
         }
         return {
             key: MeanLatency(
-                row.answer_time / row.answer_rate, (row.answer_time + row.lost_time) / row.answer_rate
+                row.answer_time / row.answer_rate, (row.answer_time + row.given_up_time) / row.answer_rate
             )
             for key, row in rows.items()
         }
@@ -179,7 +179,7 @@
         for key, row in self.loads.items():
             if key.side == CANARY and key[:2] in baseline:
                 answers += row.answer_rate
-                taken = taken + row.answer_time + row.lost_time
+                taken = taken + row.answer_time + row.given_up_time
                 expected += row.answer_rate * baseline[key[:2]].including_given_up
         return taken / expected if answers >= min_answer_rate and expected > 0 else 0.0
 
@@ -209,7 +209,7 @@
             loads[key] = LoadSample(
                 total.answer_rate + row.answer_rate,
                 total.answer_time + row.answer_time,
-                total.lost_time + row.lost_time,
+                total.given_up_time + row.given_up_time,
             )
     rate = sum(report.request_rate for report in reports)
     outstanding = sum(report.outstanding for report in reports)
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -23,7 +23,7 @@
         return False
     classes = (request.request.request_class,) if policy.counts_by_class else ()
     window_start = state.now - policy.exposure_window
-    sent = state.traffic.sent_to(build)
+    sent = state.traffic.attempts_to(build)
     accepted = state.traffic.accepted
     sent.forget(window_start)
     accepted.forget(window_start, with_edge=True)
--- a/gatebank/simulator/__main__.py
+++ b/gatebank/simulator/__main__.py
@@ -8,7 +8,7 @@
 
 from gatebank.simulator.host import Host, WireError
 
-BROKEN_INPUT_STATUS = 2
+INVALID_INPUT_STATUS = 2
 
 
 def main() -> int:
@@ -21,21 +21,21 @@
         try:
             reply = host.answer(orjson.loads(line))
         except orjson.JSONDecodeError as error:
-            return complain(f"a line is no JSON: {error}")
+            return report_error(f"a line is no JSON: {error}")
         except WireError as error:
-            return complain(str(error))
+            return report_error(str(error))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            return complain(f"a broken batch: {type(error).__name__} {error}")
+            return report_error(f"a broken batch: {type(error).__name__} {error}")
         output.write(orjson.dumps(reply) + b"\n")
         output.flush()
     return 0
 
 
-def complain(reason: str) -> int:
+def report_error(reason: str) -> int:
     """Say on standard error, in one line, why the input can't be answered."""
     line = f"gatebank.simulator: {reason}".replace("\n", " ")
     print(line, file=sys.stderr)
-    return BROKEN_INPUT_STATUS
+    return INVALID_INPUT_STATUS
 
 
 if __name__ == "__main__":
--- a/gatebank/simulator/host.py
+++ b/gatebank/simulator/host.py
@@ -103,7 +103,7 @@
         self.outstanding[index] = 0
         return index
 
-    def settle_answered(self) -> None:
+    def free_answered_requests(self) -> None:
         """Free the indices of requests that are answered and have no attempt outstanding."""
         for index in sorted(self.answered_requests):
             if not self.outstanding[index]:
@@ -121,7 +121,7 @@
         seed = event["init-seed"]
         with balancer_faults():
             self.balancer = Balancer(settings, seed, now)
-        self.tables = IdTables()
+        self.ids = IdTables()
         self.handlers: dict[str, Callable[[Event], None]] = {
             "Order": self.on_order,
             "ClosedAttempt": self.on_closed_attempt,
@@ -131,9 +131,9 @@
             "NeighbourSays": self.on_neighbour_says,
             "RolloutState": self.on_rollout_state,
             # No evidence: tallies come late, disputes are few and some wrong, an answer may begin and fail.
-            "Scorecard": self.ignore,
-            "Returned": self.ignore,
-            "Established": self.ignore,
+            "Scorecard": self.ignore_event,
+            "Returned": self.ignore_event,
+            "Established": self.ignore_event,
         }
 
     def deliver_event(self, event: Event, lists: Mapping[int, list[Any]], now: float) -> None:
@@ -152,16 +152,16 @@
         else:
             raise WireError(f"unknown msg {kind!r}")
 
-    def ignore(self, event: Event) -> None:
+    def ignore_event(self, event: Event) -> None:
         """An event that no decision is made on; a node named in it gets its index all the same."""
         if event["msg"] == "Returned":
-            self.tables.endpoint_index(event["node"])
+            self.ids.endpoint_index(event["node"])
 
     def on_order(self, event: Event) -> None:
         """A request from a client."""
         hint = event.get("cost-guess-ms")
         request = events.Request(
-            number=self.tables.add_request(event["call"]),
+            number=self.ids.add_request(event["call"]),
             request_class=event["lane"],
             tenant=event.get("client-group", 0),
             timeout=event["left-ms"] * SECONDS,
@@ -174,10 +174,10 @@
 
     def on_closed_attempt(self, event: Event) -> None:
         """An attempt has ended."""
-        index = self.tables.request_indices.get(event["call"])
+        index = self.ids.request_indices.get(event["call"])
         if index is None:
             return
-        self.tables.outstanding[index] -= 1
+        self.ids.outstanding[index] -= 1
         result = events.AttemptResult(
             attempt=event["round-no"],
             outcome=OUTCOMES[event["rc"]],
@@ -188,7 +188,7 @@
         with balancer_faults():
             self.balancer.on_attempt_result(index, result)
         if result.request_done:
-            self.tables.answered_requests.add(index)
+            self.ids.answered_requests.add(index)
 
     def on_fired(self, event: Event) -> None:
         """A timer is due."""
@@ -197,12 +197,12 @@
 
     def on_cancelled_by_client(self, event: Event) -> None:
         """The client has gone."""
-        index = self.tables.request_indices.get(event["call"])
+        index = self.ids.request_indices.get(event["call"])
         if index is None:
             return
         with balancer_faults():
             self.balancer.on_client_disconnect(index)
-        self.tables.answered_requests.add(index)
+        self.ids.answered_requests.add(index)
 
     def on_sync(self, event: Event, lists: Mapping[int, list[Any]]) -> None:
         """News of the endpoint list, or a watch that failed."""
@@ -218,7 +218,7 @@
         """One line of a list."""
         launched = row.get("launched-ms")
         return events.Endpoint(
-            index=self.tables.endpoint_index(row["node"]),
+            index=self.ids.endpoint_index(row["node"]),
             name_hash=peer_messages.name_hash(row["node"]),
             machine_kind=row.get("generation-hw", 0),
             zone=row.get("region-part", 0),
@@ -231,7 +231,7 @@
 
     def on_pong(self, event: Event) -> None:
         """A health check has ended."""
-        index = self.tables.endpoint_index(event["node"])
+        index = self.ids.endpoint_index(event["node"])
         outcome = OUTCOMES[event["rc"]]
         with balancer_faults():
             self.balancer.on_health_check_result(index, outcome)
@@ -282,7 +282,7 @@
             case actions.CastVote(build, stage, verdict):
                 return {"msg": "Opinion", "wave": stage, "rel": build, "how": int(verdict)}
             case actions.CheckHealth(index):
-                return {"msg": "AskLoad", "node": self.tables.endpoint_names[index]}
+                return {"msg": "AskLoad", "node": self.ids.endpoint_names[index]}
             case actions.LogMessage(text):
                 return {"msg": "JournalLine", "text": text}
             case actions.WatchEndpoints():
@@ -290,7 +290,7 @@
 
     def request_action(self, action: RequestAction) -> WireAction:
         """An action on a request in the wire's form."""
-        call = self.tables.request_names[action.request]
+        call = self.ids.request_names[action.request]
         match action:
             case actions.StartAttempt():
                 return self.start_attempt(action)
@@ -299,20 +299,20 @@
             case actions.RejectRequest():
                 return self.reject_request(action)
             case actions.FailRequest(index):
-                self.tables.answered_requests.add(index)
+                self.ids.answered_requests.add(index)
                 return {"msg": "Surrender", "call": call}
 
     def start_attempt(self, action: actions.StartAttempt) -> WireAction:
         """The wire's form of an attempt, which counts as outstanding from here on."""
-        self.tables.outstanding[action.request] += 1
-        call = self.tables.request_names[action.request]
-        wire = {"msg": "Route", "call": call, "node": self.tables.endpoint_names[action.endpoint]}
-        return wire if action.until is None else wire | {"until-ms": action.until * MILLISECONDS}
+        self.ids.outstanding[action.request] += 1
+        call = self.ids.request_names[action.request]
+        wire = {"msg": "Route", "call": call, "node": self.ids.endpoint_names[action.endpoint]}
+        return wire if action.give_up_at is None else wire | {"until-ms": action.give_up_at * MILLISECONDS}
 
     def reject_request(self, action: actions.RejectRequest) -> WireAction:
         """The wire's form of a rejection, which is a final answer."""
-        self.tables.answered_requests.add(action.request)
-        wire = {"msg": "OverloadReply", "call": self.tables.request_names[action.request]}
+        self.ids.answered_requests.add(action.request)
+        wire = {"msg": "OverloadReply", "call": self.ids.request_names[action.request]}
         retry_after = action.retry_after
         return wire if retry_after is None else wire | {"backoff-ms": retry_after * MILLISECONDS}
 
@@ -341,12 +341,12 @@
         """One instance's part of a reply, or None where it does nothing."""
         name = part["marshal"]
         try:
-            outbox = self.deliver(name, part["msgs"], now)
+            outbox = self.deliver_events(name, part["msgs"], now)
         except BalancerFaultError as fault:
             outbox = [{"msg": "Bug", "text": str(fault)}]
         return {"marshal": name, "outbox": outbox} if outbox else None
 
-    def deliver(self, name: str, batch_events: Iterable[Event], now: float) -> list[WireAction]:
+    def deliver_events(self, name: str, batch_events: Iterable[Event], now: float) -> list[WireAction]:
         """Hand events to one instance, in order; the actions that come of them."""
         outbox: list[WireAction] = []
         for event in batch_events:
@@ -366,5 +366,5 @@
         instance = self.instances.get(name)
         if instance:
             outbox += instance.take_actions()
-            instance.tables.settle_answered()
+            instance.ids.free_answered_requests()
         return outbox
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -75,7 +75,7 @@
 
     def window_fits(self) -> bool:
         """Returns whether `items` holds the whole last exposure window, and not only its latest attempts."""
-        return sum(map(len, self.balancer.state.traffic.sent.values())) <= MAX_WINDOW_ROWS
+        return sum(map(len, self.balancer.state.traffic.attempts_by_build.values())) <= MAX_WINDOW_ROWS
 
     def receive(self, items: list[StateItem]) -> int:
         """Keeps items of a source; returns how many told something new."""
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -207,7 +207,7 @@
         since = self.now - self.state.settings.release.exposure_window
         sent = [
             (at, request_class, build)
-            for build, rows in self.state.traffic.sent.items()
+            for build, rows in self.state.traffic.attempts_by_build.items()
             for at, request_class in rows
             if at >= since
         ]
