--- a/gatebank/__main__.py
+++ b/gatebank/__main__.py
@@ -1,8 +1,8 @@
-"""``python -m gatebank``: run an instance, check its configuration, and the sub-commands of gatebank/cli/."""
+"""``python -m gatebank``: runs an instance or a sub-command, such as those of gatebank/cli/."""
 
 from __future__ import annotations
 
-import gatebank.signal_mask  # noqa: F401  (first, for its effect)
+import gatebank.signal_mask  # noqa: F401  (imported first, for its side effect)
 
 # isort: split
 import os
@@ -21,7 +21,7 @@
 if TYPE_CHECKING:
     from gatebank.operator_config.operators_file import OperatorsFile
 
-USAGE_STATUS = 2  # nothing was started; standard error says why
+USAGE_STATUS = 2  # Exit status if nothing was started; standard error gives the reason.
 
 app = typer.Typer(
     add_completion=False,
@@ -30,15 +30,15 @@
     help="A proxy that tries out new builds on live traffic.",
 )
 ConfigurationPath = Annotated[
-    str | None, typer.Argument(help="The configuration file; without it, the one that ROUTER_CONFIG names.")
+    str | None, typer.Argument(help="The configuration file; by default, the file that ROUTER_CONFIG names.")
 ]
 OperatorsPath = Annotated[
-    Path | None, typer.Option(help="The operators' file; without it, everything that it can set is off.")
+    Path | None, typer.Option(help="The operators' file; without it, all optional parts are off.")
 ]
 
 
 def environment_with_configuration(configuration: str | None) -> dict[str, str]:
-    """Return the process's environment, with the named configuration in place of its own."""
+    """Return a copy of the process's environment; ``configuration``, if given, replaces ROUTER_CONFIG."""
     environment = dict(os.environ)
     if configuration:
         environment["ROUTER_CONFIG"] = configuration
@@ -46,21 +46,21 @@
 
 
 def exit_with_error(reason: object) -> NoReturn:
-    """End with one line on standard error and status 2."""
+    """Exit with one line on standard error and status 2."""
     print(f"gatebank: {reason}".replace("\n", " "), file=sys.stderr)
     raise typer.Exit(USAGE_STATUS)
 
 
 def read_operators_file(path: Path | None) -> OperatorsFile | None:
-    """Return the operators' file, checked, or None if there is none.
+    """Read and check the operators' file; return None if there is none.
 
     Raises:
-        typer.Exit: Status 2 if its libraries are missing, or if it has faults: one line for each on standard
-            error.
+        typer.Exit: Status 2 if the libraries for the file are missing or the file has errors; standard error
+            has one line for each error.
     """
     if path is None:
         return None
-    try:  # its libraries are an extra, which a service without the file does not need
+    try:  # The libraries for the file are an optional extra that a service without the file does not need.
         from gatebank.operator_config import operators_file
     except ModuleNotFoundError as error:
         exit_with_error(f"--orders needs the extra gatebank[operators]: {error}")
@@ -77,7 +77,7 @@
     log_level: Annotated[str, typer.Option(help="debug, info, warning or error.")] = "info",
     orders: OperatorsPath = None,
 ) -> None:
-    """Run one instance until SIGTERM; on SIGHUP it reads its configuration again."""
+    """Run one instance until SIGTERM; on SIGHUP it reloads its configuration."""
     log.begin(log_level)
     environment = environment_with_configuration(configuration)
     try:
@@ -88,16 +88,16 @@
 
 @app.command()
 def check(configuration: ConfigurationPath = None, orders: OperatorsPath = None) -> None:
-    """Tell whether an instance could start with this configuration, without starting it."""
+    """Check whether an instance could start with this configuration, without starting it."""
     operators_file = read_operators_file(orders)
     try:
-        found = load_configuration(environment_with_configuration(configuration))
-        read_initial_knowledge(found, EndpointRegistry(found.settings))
+        loaded = load_configuration(environment_with_configuration(configuration))
+        read_initial_knowledge(loaded, EndpointRegistry(loaded.settings))
     except ConfigurationError as error:
         exit_with_error(error)
-    host, port = found.listen
-    request_classes = ", ".join(each.name for each in found.settings.request_classes)
-    print(f"{found.name}: listens on {host}:{port}; workloads {request_classes}")
+    host, port = loaded.listen
+    request_classes = ", ".join(request_class.name for request_class in loaded.settings.request_classes)
+    print(f"{loaded.name}: listens on {host}:{port}; workloads {request_classes}")
     if operators_file:
         sections = ", ".join(placed.section.section for placed in operators_file.sections)
         print(f"{orders}: {sections or 'no sections'}")
@@ -111,7 +111,7 @@
 
 def main() -> None:
     """Run the command that the command line names."""
-    if sys.argv[1:2] != ["serve"]:  # an instance keeps nothing in memory that it does not use
+    if sys.argv[1:2] != ["serve"]:  # An instance does not load modules of sub-commands that it does not use.
         from gatebank.cli import fleet, keys, learn
         from gatebank.cli.capture import commands as capture
 
--- a/gatebank/actions.py
+++ b/gatebank/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the balancer asks its host to do, in order, after each event; and the timers it starts."""
+"""The actions that the balancer asks its host to carry out after each event, and the timers in them."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """The timer for what only time changes."""
+    """The timer of the balancer's periodic work."""
 
 
 @dataclass(slots=True, frozen=True)
 class WatchTimer:
-    """Time to watch the endpoint list again, after a watch that failed."""
+    """The timer for watching the endpoint list again after a watch that failed."""
 
 
 @dataclass(slots=True, frozen=True)
 class EjectionTimer:
-    """Time to check the health of an ejected endpoint."""
+    """The timer for the next health check of an ejected endpoint."""
 
     endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
 class RequestTimer:
-    """Time to look at a request again; ``generation`` tells whether it still waits for this timer."""
+    """The timer for the next step of a request.
+
+    The timer is stale if ``generation`` differs from the request's timer generation.
+    """
 
     request: int
     generation: int
@@ -38,7 +41,10 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Send a request to an endpoint; give the attempt up at ``until`` (None: when the client does)."""
+    """Send a request to an endpoint.
+
+    The host gives the attempt up at ``give_up_at``, or when the client gives up if that is None.
+    """
 
     request: int
     endpoint: int
@@ -47,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -55,7 +61,10 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Final answer: trying again is harmless, best after ``retry_after`` seconds."""
+    """Give the final answer that the request was rejected and may safely be sent again.
+
+    ``retry_after`` is the recommended delay in seconds; None if none is given.
+    """
 
     request: int
     retry_after: float | None
@@ -63,14 +72,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailRequest:
-    """Final answer that promises nothing."""
+    """Give the final answer that the request failed; sending it again may not be safe."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Call ``on_timer`` with this timer at a time in the balancer's seconds."""
+    """Call ``on_timer`` with this timer at ``due_at``, in the balancer's seconds."""
 
     due_at: float
     timer: Timer
@@ -78,14 +87,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Ask an endpoint for a sign of life; its outcome comes by ``on_health_check_result``."""
+    """Check the health of an endpoint; the host reports the outcome by ``on_health_check_result``."""
 
     endpoint: int
 
 
 @dataclass(slots=True, frozen=True)
 class SendToPeer:
-    """Send a message to one peer, or to all (None)."""
+    """Send a message to one peer, or to all peers if ``peer`` is None."""
 
     peer: int | None
     message: PeerMessage
@@ -93,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CastVote:
-    """Vote on a build at a stage; the answer comes by ``on_release_status``."""
+    """Vote on a build at a stage; the host reports the reply by ``on_release_status``."""
 
     build: int
     stage: int
@@ -102,12 +111,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Ask discovery to send the changes of the endpoint list from now on."""
+    """Subscribe to changes of the endpoint list at the discovery service."""
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for on-call staff."""
+    """Write a log line for on-call staff."""
 
     text: str
 
--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -1,11 +1,11 @@
-"""The balancer of one instance: events in, actions out.
+"""The balancer of one instance: takes events and answers them with actions.
 
-A host makes one `Balancer`, sets its `now`, calls the method of each event and carries out what it then finds
-in `actions`, in order; it empties that list itself. This module only sequences: what an instance knows is in
-`gatebank.core`, every decision in `gatebank.policy`. The way of one request:
+A host creates one `Balancer`. For each event the host sets `now`, calls the event's method, carries out the
+actions in `actions` in order and empties that list. This module only sequences the steps: the state of an
+instance is in `gatebank.core`, and every decision is made in `gatebank.policy`. The steps of one request:
 
     on_request ─► _advance ─► policy.retry.next_step ─► StartAttempt | StartTimer | final answer
-    on_attempt_result ─► what the result teaches ─► _advance
+    on_attempt_result ─► statistics and evidence ─► _advance
     on_timer(RequestTimer) ─► _advance
 """
 
@@ -61,22 +61,22 @@
 
 
 class Balancer:
-    """One instance. Times are seconds of the host's clock.
+    """The balancer of one instance. All times are seconds of the host's clock.
 
     Attributes:
-        actions: what the host is to carry out, in order.
-        state: what this instance knows; for reading.
+        actions: the actions that the host has to carry out, in order.
+        state: the state of this instance; read-only for hosts.
     """
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
-        """Start an instance.
+        """Start the balancer.
 
         Args:
-            settings: of this instance.
-            seed: of its random numbers.
-            now: the present.
+            settings: the settings of this instance.
+            seed: the seed of the random number generator.
+            now: the current time.
         """
-        # What is sent as it starts is not timed: its clock may stand until it has caught up with that start.
+        # Attempts of the first tick are not timed: the clock may stand still until it reaches the start time.
         self.state = BalancerState(settings, seed, now, resumed_at=now + measurement.TICK_S)
         statistic_count = Statistic.FIRST_CLASS + len(settings.request_classes)
         self.state.baseline_errors = [NO_ERRORS] * statistic_count
@@ -90,16 +90,16 @@
 
     @property
     def now(self) -> float:
-        """The present."""
+        """The current time."""
         return self.state.now
 
     @now.setter
     def now(self, now: float) -> None:
-        """Set the present, before each event.
+        """Set the current time, before each event.
 
-        An instance that missed its ticks did not run: its host paused it or gave its core to others. What
-        came meanwhile comes all at once and shows no late answers, no silence of endpoints or fusers and no
-        due fallback.
+        An instance that missed its ticks was not running: its host was paused or its core was busy with other
+        processes. All input of the pause then arrives at once. It does not show that answers were late, that
+        endpoints or fusers were silent, or that this instance has to fall back to its own evidence.
         """
         state = self.state
         if now > state.now + measurement.STALL_TICKS * measurement.TICK_S:
@@ -107,36 +107,39 @@
             state.fleet.last_fuser_message_at = now
         state.now = now
 
-    # Events.
+    # Event handlers.
 
     def on_endpoint_list(self, endpoints: Sequence[Endpoint], complete: bool) -> None:
-        """The endpoint list, or changes of it. Rule 3: what drains or is gone is not chosen from here on."""
+        """Apply the complete endpoint list or a change of it.
+
+        Rule 3: from here on, endpoints that are draining or gone are not chosen.
+        """
         self.state.endpoints.update(endpoints, complete=complete)
 
     def on_watch_failed(self) -> None:
-        """The endpoint list could not be watched."""
+        """Schedule another watch of the endpoint list after one that failed."""
         self._start_timer(measurement.WATCH_AGAIN_S, WatchTimer())
 
     def on_request(self, request: Request) -> None:
-        """A request from a client."""
+        """Accept a request from a client and take its first step."""
         state = self.state
         state.traffic.accepted.add(state.now, request.request_class)
         state.traffic.arrivals.add(state.now, request.tenant)
         if not request.is_client_retry:
             state.traffic.new_requests.add(state.now, None)
         request_class = state.settings.request_classes[request.request_class]
-        in_hand = RequestState(request, request_class, state.now)
-        state.requests[request.number] = in_hand
-        self._advance(in_hand)
+        request_state = RequestState(request, request_class, state.now)
+        state.requests[request.number] = request_state
+        self._advance(request_state)
 
     def on_client_disconnect(self, number: int) -> None:
-        """The client of a request has gone."""
+        """Close a request whose client has disconnected."""
         request = self.state.requests.get(number)
         if request:
             self._close(request)
 
     def on_attempt_result(self, number: int, result: AttemptResult) -> None:
-        """An attempt of a request has ended."""
+        """Record how an attempt ended, then close its request or take the request's next step."""
         state = self.state
         request = state.requests.get(number)
         attempt = state.outstanding.pop(AttemptKey(number, result.attempt), None)
@@ -154,7 +157,7 @@
         self._close(request)
 
     def on_timer(self, timer: Timer) -> None:
-        """A timer that this balancer started is due."""
+        """Handle a timer that this balancer started and that is now due."""
         match timer:
             case Tick():
                 self._tick()
@@ -170,7 +173,7 @@
                     self.actions.append(CheckHealth(index))
 
     def on_health_check_result(self, index: int, outcome: Outcome) -> None:
-        """A health check of an endpoint has ended."""
+        """Record a health check; an ejected endpoint returns once enough checks in a row have passed."""
         endpoint = self.state.endpoints.by_index.get(index)
         if endpoint is None or not endpoint.ejected:
             return
@@ -184,7 +187,7 @@
         self.state.endpoints.groups.ejection_changed()
 
     def on_peer_message(self, peer: int, message: PeerMessage) -> None:
-        """A message from another instance."""
+        """Handle a message from another instance."""
         state = self.state
         if not 0 <= peer < state.settings.instance_count:
             return
@@ -200,28 +203,31 @@
             self._vote()
 
     def on_release_status(self, status: ReleaseStatus) -> None:
-        """What the release service says of the newest build, or how it took a vote."""
+        """Handle the status of the newest build from the release service, or its reply to a vote."""
         state = self.state
         if status.is_vote_reply:
             state.voting.renew_at = state.now + rollout.renewal_delay(state, status.reply)
         if status.reply is not ReplyStatus.ACCEPTED or status.build is None or status.stage is None:
             return
-        last = state.release
+        previous = state.release
         state.release = status
-        judged = status.phase in (Phase.CANARY, Phase.RELEASED)
-        same_build = last is not None and last.build == status.build
-        if not judged or not same_build:
+        is_tested = status.phase in (Phase.CANARY, Phase.RELEASED)
+        same_build = previous is not None and previous.build == status.build
+        if not is_tested or not same_build:
             state.sticky_builds = {}
-        if last and same_build and (last.stage, last.phase) == (status.stage, status.phase):
+        if previous and same_build and (previous.stage, previous.phase) == (status.stage, status.phase):
             return
         if not same_build:
-            self._begin_build(is_first=last is None)
+            self._begin_build(is_first=previous is None)
         state.canary_seen = state.canary_seen or status.phase is Phase.CANARY
-        state.test = self._new_test(status, state.test if same_build else None) if judged else None
+        state.test = self._new_test(status, state.test if same_build else None) if is_tested else None
         inheritance.merge_inherited_reports(state)
 
     def apply_inherited_state(self, inherited: InheritedState) -> None:
-        """What others saw before this instance did, at its start or soon after."""
+        """Apply state that was inherited from other instances or an earlier incarnation.
+
+        The host calls this at the start of the instance or soon after.
+        """
         state = self.state
         inheritance.inherit_window(state, inherited)
         for index, inherited_endpoint in inherited.endpoints.items():
@@ -238,9 +244,10 @@
         inheritance.merge_inherited_reports(state)
 
     def may_start(self, number: int, attempt: int) -> bool:
-        """Whether an attempt that waited for its connection may still go.
+        """Tell whether an attempt that has waited for its connection may still be sent.
 
-        What it was chosen on may have passed; rule 5 counts it anew.
+        The conditions under which the attempt was started may no longer hold. If the attempt may be sent,
+        rule 5 counts it at the current time instead of its start time.
         """
         state = self.state
         request = state.requests[number]
@@ -254,10 +261,10 @@
         state.traffic.attempts_to(record.build).move(started_at, record.request_class, state.now)
         return True
 
-    # A request's way.
+    # Steps of a request.
 
     def _advance(self, request: RequestState) -> None:
-        """Take the next step with a request: an attempt, a wait or its final answer."""
+        """Take the next step of a request: start an attempt, wait, or give the final answer."""
         step = retry.next_step(self.state, request)
         if isinstance(step, RejectRequest | FailRequest):
             self.actions.append(step)
@@ -288,21 +295,21 @@
         endpoint.slow_start_tokens -= 1
 
     def _close(self, request: RequestState) -> None:
-        """The request has its final answer: attempts still outstanding are no use."""
+        """Remove a request that has its final answer; cancel outstanding attempts if the settings allow."""
         number = request.request.number
         self.state.requests.pop(number, None)
         if self.state.settings.limits.may_cancel:
-            self.actions += [CancelAttempt(number, each) for each in request.outstanding_attempts()]
+            self.actions += [CancelAttempt(number, attempt) for attempt in request.outstanding_attempts()]
 
     def _bind_key(self, request: RequestState, build: int) -> None:
-        """A key that the newest build answered stays with it, where the settings say so."""
+        """Bind a key to the newest build after that build has answered, if the settings make keys sticky."""
         state = self.state
         key = request.request.key
         newest = state.release.build if state.release else None
         if key is not None and state.settings.release.sticky_keys and build == newest:
             state.sticky_builds[key] = build
 
-    # What results teach.
+    # Statistics and evidence from results.
 
     def _record_result(self, attempt: AttemptRecord, result: AttemptResult) -> None:
         state = self.state
@@ -316,24 +323,25 @@
         record_latency(state, attempt, result, side, measurement.LATENCY_WEIGHTS)
 
     def _attribute(self, request: RequestState | None, ended: SuspectedError) -> None:
-        """Count a result against its endpoint and build.
+        """Attribute a result to its endpoint and build.
 
-        An error counts where another attempt of its request succeeds: what fails anywhere is nobody's fault.
-        A request that may not run again has no other attempt and counts at once. Harmful where hardly any
-        endpoint can serve.
+        An error counts against an endpoint only once another attempt of the same request has succeeded: a
+        request that fails at every endpoint shows a fault of the request, not of an endpoint. The error of a
+        non-idempotent request counts at once, because no other attempt will follow. Holding errors back is
+        harmful where hardly any endpoint can serve, since no attempt succeeds and the errors never count.
         """
         suspected = request.suspected_errors if request else []
         outcome = ended.result.outcome
-        has_others = request and request.request_class.retry_safety is not RetrySafety.NON_IDEMPOTENT
-        if request and has_others and outcome is Outcome.ERROR:
+        may_retry = request and request.request_class.retry_safety is not RetrySafety.NON_IDEMPOTENT
+        if request and may_retry and outcome is Outcome.ERROR:
             request.suspected_errors = [*suspected, ended]
             return
-        self._count_against_endpoint(*ended)
+        self._count_result(*ended)
         if outcome is Outcome.SUCCESS:
-            for each in suspected:
-                self._count_against_endpoint(*each)
+            for error in suspected:
+                self._count_result(*error)
 
-    def _count_against_endpoint(self, attempt: AttemptRecord, result: AttemptResult) -> None:
+    def _count_result(self, attempt: AttemptRecord, result: AttemptResult) -> None:
         state = self.state
         endpoint = attempt.endpoint
         outlier.update_failure_rate(endpoint, result.outcome)
@@ -356,10 +364,10 @@
         delay = endpoint.ejection_time if check_after is None else check_after
         self._start_timer(delay, EjectionTimer(endpoint.listed.index))
 
-    # Releases and peers.
+    # Releases, votes and peers.
 
     def _begin_build(self, *, is_first: bool) -> None:
-        """Another build is the newest: what was usual before it came is kept to compare with."""
+        """Start observing another newest build: keep the present latencies and load for comparison."""
         state = self.state
         latencies = state.latencies
         latencies.before_canary = {} if is_first else evidence.known_latencies(state)
@@ -370,12 +378,16 @@
             endpoint.latency_drift = NO_DRIFT
         state.endpoints.groups.ejection_changed()
 
-    def _new_test(self, status: ReleaseStatus, former: SequentialTest | None) -> SequentialTest:
-        """Sums begin anew with each stage, but for that of the oldest endpoints, which stay the same."""
+    def _new_test(self, status: ReleaseStatus, previous: SequentialTest | None) -> SequentialTest:
+        """Create the sequential test of a stage.
+
+        The sums restart at zero with each stage. Only the sum of the oldest endpoints is carried over, since
+        these endpoints stay the same in all stages.
+        """
         state = self.state
         test = SequentialTest(status, len(state.settings.request_classes), state.incarnation)
-        if former is not None:
-            test.sums.continue_from(former.sums)
+        if previous is not None:
+            test.sums.continue_from(previous.sums)
         return test
 
     def _vote(self) -> None:
@@ -401,7 +413,10 @@
             self._send(fuser, message)
 
     def _send_report(self) -> None:
-        """The design's remainder, as whole sums, and this instance's load; one fuser tells the fleet's."""
+        """Send this instance's sums and load to the fusers; one fuser also broadcasts the fleet's load.
+
+        The report holds whole sums, which include the remainder that the design sends once a second.
+        """
         state = self.state
         build = 0
         stage = 0
@@ -409,7 +424,7 @@
         if state.test:
             build = state.test.build
             stage = state.test.sums.stage
-            sums = {r: each for r, each in enumerate(state.test.sums.own) if each.outcomes}
+            sums = {statistic: llr for statistic, llr in enumerate(state.test.sums.own) if llr.outcomes}
             state.test.sums.reset_unsent()
         outstanding = outstanding_attempts(state, outlier.UNRESPONSIVE_AT)
         loads = state.traffic.loads(measurement.RATE_WINDOW_S)
@@ -433,13 +448,13 @@
         state.latencies.longest_mean = longest or measurement.LATENCY_WEIGHTS.default_longest_mean
         state.fleet.held_up_classes = rollout.held_up_classes(state)
 
-    # Time.
+    # Timers.
 
     def _start_timer(self, delay: float, timer: Timer) -> None:
         self.actions.append(StartTimer(self.state.now + delay, timer))
 
     def _tick(self) -> None:
-        """What only time changes."""
+        """Do the periodic work: expire old counts and reports, update rates, send reports and vote."""
         state = self.state
         self._start_timer(measurement.TICK_S, Tick())
         measurement.forget_traffic(state)
--- a/gatebank/composition.py
+++ b/gatebank/composition.py
@@ -1,6 +1,7 @@
-"""The composition root of an instance: joins the proxy with the parts that an operators' file may switch on.
+"""The composition root of an instance: connects the proxy with the parts that an operators' file enables.
 
-It stands above both, so that neither imports the other upwards; what is not switched on is not imported.
+This module is the layer above the proxy and the optional parts, so that neither imports the other. Parts that
+are not enabled are not imported.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
     """Run one instance until SIGTERM.
 
     Args:
-        configuration: Where it stands and what it starts with.
-        environment: By which the configuration is loaded again at SIGHUP.
-        operators: The operators' file; None: all that it may switch on is off.
+        configuration: The configuration to start with.
+        environment: The environment variables from which the configuration is loaded again on SIGHUP.
+        operators: The operators' file; None: all optional parts are off.
 
     Raises:
-        ConfigurationError: It can't start so.
+        ConfigurationError: The instance cannot start with this configuration.
     """
     service.serve(configuration, environment, optional_parts(operators))
 
 
 def optional_parts(operators: OperatorsFile | None) -> OptionalParts:
-    """What the operators' file switches on.
+    """Return the optional parts that the operators' file enables.
 
-    Its modules are imported here, before the balancer's clock starts: `cryptography` alone takes longer than
-    the balancer's first tick, which would look like a process that does not get its turn.
+    Their modules are imported here, before the balancer's clock starts: importing `cryptography` alone takes
+    longer than the balancer's first tick, which would look like a process that gets no processor time.
     """
     if operators is None:
         return OptionalParts()
@@ -50,7 +51,10 @@
 
 
 def recorder_factory(operators: OperatorsFile) -> Callable[[Configuration], Recorder | None]:
-    """Makes the recorder, started, if the operators' file has a section for it."""
+    """Return a factory of a started recorder.
+
+    The factory returns None if the operators' file has no section for recording.
+    """
     from gatebank.recording.section import Recording
 
     section = operators.find(Recording)
@@ -73,7 +77,10 @@
 def state_transfer_factory(
     operators: OperatorsFile,
 ) -> Callable[[Configuration, Dispatcher], StateTransfer | None]:
-    """Makes state transfer between instances, listening, if the operators' file has a section for it."""
+    """Return a factory of state transfer that is already listening.
+
+    The factory returns None if the operators' file has no section for state transfer.
+    """
     from gatebank.state_transfer.section import StateTransferSection
 
     section = operators.find(StateTransferSection)
@@ -84,7 +91,7 @@
 
     keys_section = operators.find(KeysSection)
     if session.needs_keys(section):
-        from gatebank.state_transfer import peer_keys  # noqa: F401  # what `session` imports where it is needed
+        from gatebank.state_transfer import peer_keys  # noqa: F401  # `session` imports it on first use
 
     def make(configuration: Configuration, dispatcher: Dispatcher) -> StateTransfer:
         name = configuration.name
--- a/gatebank/core/__init__.py
+++ b/gatebank/core/__init__.py
@@ -1,15 +1,17 @@
-"""What an instance stores, sums, ages and encodes. No I/O, no threshold and no choice: these are in policy/.
+"""The state of an instance. Thresholds and decisions are in policy/; no module here does I/O.
 
-    endpoint_state.py     what is known of one endpoint
-    endpoint_table.py     the endpoint list as last told
+    endpoint_state.py     the state of one endpoint
+    endpoint_table.py     the latest endpoint list
     request_state.py      a request and its attempts
-    traffic.py            what came and was sent in the last seconds
-    latency.py            usual answer times
+    traffic.py            requests and attempts of the last seconds
+    latency.py            mean latencies
+    measurement.py        taking results into latencies and the baseline's counts
+    load.py               load and unanswered attempts as this instance sees them
     llr_sums.py           the LLRs of one build at one stage: own, unsent, fused
-    fleet_view.py         what other instances reported
-    voting.py             this instance's votes
-    state.py              all of it together, for one instance
-    inheritance.py        taking over what other instances know
+    fleet_view.py         reports of other instances
+    voting.py             the votes of this instance
+    state.py              the whole state of one instance
+    inheritance.py        taking over state of other instances
 
-`gatebank.balancer` feeds events into it and asks policy/ what to do.
+`gatebank.balancer` passes events to these modules and asks policy/ for decisions.
 """
--- a/gatebank/core/endpoint_state.py
+++ b/gatebank/core/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What one instance knows of one endpoint."""
+"""The state of one endpoint as one instance knows it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from gatebank.events import Endpoint, LatencyEstimate
 
-NEUTRAL_LATENCY_RATIO = 1.0  # of an endpoint's times to the usual ones, while nothing is known
+NEUTRAL_LATENCY_RATIO = 1.0  # The latency ratio and drift of an endpoint without measurements.
 
 
 class PeerSlowStartRate(NamedTuple):
-    """Attempts a second that others send an endpoint that warms up, and until when this is believed."""
+    """Attempts per second that other instances send to a warming endpoint, and until when this is valid."""
 
     rate: float
     valid_until: float
@@ -23,22 +23,25 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """Dropped when the endpoint list drops the endpoint or its process starts anew; times in seconds.
+    """The state of an endpoint; times in seconds.
+
+    The state is dropped when the endpoint leaves the endpoint list or its process restarts.
 
     Attributes:
-        listed: its line of the endpoint list.
-        outstanding: this instance's attempts without a result.
-        silent_since: since when none of them has ended.
-        last_result_at: when an attempt last ended, here or at who told of it.
-        latency_ratio: its answer times over the usual ones.
-        latency_drift: its answer times over those before this canary came.
-        failure_rate: share of its recent attempts that failed.
-        ejected: it must pass health checks before it is used again.
-        ejection_time: for how long it was ejected last.
-        passed_health_checks: in a row, since it was ejected.
-        slow_start_tokens: attempts it may still be sent while it warms up, as of ``tokens_at``.
-        results: how many of this instance's attempts ended.
-        peer_cold_rate: what others send it while it warms up.
+        listed: the endpoint's entry in the endpoint list.
+        outstanding: the number of this instance's attempts without a result.
+        silent_since: since when no outstanding attempt has ended.
+        last_result_at: when an attempt last ended, or when inherited state of the endpoint was applied.
+        latency_ratio: the endpoint's latency relative to the mean of its request classes.
+        latency_drift: the endpoint's latency relative to the mean before the present canary arrived.
+        failure_rate: share of the endpoint's recent attempts that failed.
+        ejected: the endpoint must pass health checks before it is used again.
+        ejection_time: duration of the last ejection.
+        passed_health_checks: health checks passed in a row since the endpoint was ejected.
+        slow_start_tokens: attempts that may still be sent while the endpoint warms up, as of
+            ``tokens_updated_at``.
+        result_count: the number of this instance's attempts that have ended.
+        peer_slow_start_rate: the rate at which other instances send attempts while the endpoint warms up.
     """
 
     listed: Endpoint
--- a/gatebank/core/endpoint_table.py
+++ b/gatebank/core/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint list as last told, with what is known of each endpoint."""
+"""The latest endpoint list, with the state of each endpoint."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 
 
 class EndpointCounts(NamedTuple):
-    """How many endpoints there are: of one build, of these warmed up and the oldest, and of all builds."""
+    """Endpoint counts for the evidence on one build.
+
+    Attributes:
+        of_build: endpoints of the build.
+        warm: endpoints of the build that have warmed up.
+        oldest: the oldest endpoints of the build.
+        listed: endpoints of all builds.
+    """
 
     of_build: int
     warm: int
@@ -20,13 +27,14 @@
 
 
 class EndpointTable:
-    """Endpoints by index.
+    """All endpoints of the endpoint list.
 
     Attributes:
-        by_index: all that are listed and not gone.
-        ready: those that may be sent to, in the order of their hashes, which is alike at all instances.
-        groups: the same by build.
-        lowest_build: of all listed; 0 where none is.
+        by_index: the listed endpoints that are not gone, by index.
+        ready: the endpoints that requests may be sent to, in the order of their name hashes, which is the
+            same at all instances.
+        groups: the ready endpoints grouped by build.
+        lowest_build: the lowest build number in ``by_index``; 0 if there is no endpoint.
     """
 
     def __init__(self) -> None:
@@ -36,24 +44,34 @@
         self.lowest_build = 0
 
     def update(self, endpoints: Sequence[Endpoint], *, complete: bool) -> None:
-        """Take a list, or changes of it; what drains, is gone or is missing is no longer ready."""
+        """Apply a complete list or a change of it.
+
+        Endpoints that are draining, gone or missing from a complete list are no longer ready.
+        """
         listed = {} if complete else dict(self.by_index)
-        for each in endpoints:
-            state = self.by_index.get(each.index)
-            if state is None or not self._same_process(state.listed, each):
-                state = EndpointState(each)
-            state.listed = each
-            listed[each.index] = state
+        for endpoint in endpoints:
+            state = self.by_index.get(endpoint.index)
+            if state is None or not self._same_process(state.listed, endpoint):
+                state = EndpointState(endpoint)
+            state.listed = endpoint
+            listed[endpoint.index] = state
         self.by_index = {
             index: state for index, state in listed.items() if state.listed.condition is not Condition.GONE
         }
-        in_order = sorted(self.by_index.values(), key=lambda state: state.listed.name_hash)
-        self.ready = [state for state in in_order if state.listed.condition is Condition.READY]
+        by_hash = sorted(self.by_index.values(), key=lambda state: state.listed.name_hash)
+        self.ready = [state for state in by_hash if state.listed.condition is Condition.READY]
         self.groups = EndpointGroups(self.ready)
         self.lowest_build = min((state.listed.build for state in self.by_index.values()), default=0)
 
     def counts(self, build: int, oldest: int, now: float, warm_up: float) -> EndpointCounts:
-        """The counts that evidence on a build is weighed by; ``warm_up`` in seconds."""
+        """Return the endpoint counts for weighing the evidence on a build.
+
+        Args:
+            build: the build under test.
+            oldest: the number of the build's oldest endpoints.
+            now: the current time.
+            warm_up: how long an endpoint warms up, in seconds.
+        """
         endpoints = self.groups.by_build.get(build, ())
         warm = self.groups.warm_count(endpoints, now, warm_up)
         return EndpointCounts(len(endpoints), warm, oldest, len(self.by_index))
--- a/gatebank/core/fleet_view.py
+++ b/gatebank/core/fleet_view.py
@@ -1,4 +1,4 @@
-"""What other instances reported: their load, and that of all together."""
+"""Reports of other instances: their load, and the load of the whole fleet."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A peer's last report and when it came."""
+    """The last report of a peer, and when it arrived."""
 
     report: InstanceReport
     received_at: float
 
 
 class FleetView:
-    """The fleet as a fuser told it last, and at fusers the reports it is made of.
+    """The last fleet report from a fuser and, at fusers, the instance reports that it is made of.
 
     Attributes:
-        report: None where none came lately.
-        received_at, sender: when and from which instance it came.
-        loads: of all instances, by request class.
-        baseline_latency: by request class and machine kind.
-        canary_slowness: the canary's times over the baseline's; 0 where unknown.
-        held_up_classes: request classes that are late by themselves, whatever endpoint they go to.
-        peer_reports: the last of each instance.
-        last_fuser_message_at: when a fuser last sent anything.
+        report: the last fleet report; None if none arrived recently.
+        received_at, sender: when the fleet report arrived and which instance sent it.
+        loads: the load of all instances, by request class.
+        baseline_latency: the baseline's mean latencies by request class and machine kind.
+        canary_latency_ratio: the canary's latency relative to the baseline's; 0 if unknown.
+        held_up_classes: request classes that are late regardless of the endpoint that serves them.
+        peer_reports: the last report of each instance.
+        last_fuser_message_at: when a fuser last sent any message.
     """
 
     def __init__(self, instance: int, now: float) -> None:
@@ -42,7 +42,7 @@
     def apply_report(
         self, sender: int, report: FleetReport, now: float, *, class_count: int, minimum: float
     ) -> None:
-        """Take a report; times of fewer than ``minimum`` answers a second are left out."""
+        """Apply a fleet report; latencies from fewer than ``minimum`` answers per second are left out."""
         self.report = report
         self.received_at = now
         self.sender = sender
@@ -51,15 +51,15 @@
         self.canary_latency_ratio = report.canary_latency_ratio(self.baseline_latency, minimum)
 
     def mean_latencies(self) -> list[float]:
-        """Seconds an answer takes, by request class; 0 where there are none."""
+        """Return the mean seconds per answer by request class; 0 for a class without answers."""
         return [load.answer_time / load.answer_rate if load.answer_rate else 0.0 for load in self.loads]
 
     def forget_report(self) -> None:
-        """No fuser told it lately: this instance acts on what it knows itself."""
+        """Drop a fleet report that no fuser has renewed; this instance then uses its own measurements."""
         self.report = None
         self.baseline_latency = {}
         self.canary_latency_ratio = 0.0
 
     def recent_reports(self, since: float) -> list[InstanceReport]:
-        """Peers' reports that came after that time."""
+        """Return the reports of peers that arrived after ``since``."""
         return [received.report for received in self.peer_reports.values() if received.received_at > since]
--- a/gatebank/core/inheritance.py
+++ b/gatebank/core/inheritance.py
@@ -1,6 +1,7 @@
-"""Taking over what other instances, or a former incarnation, knew before this one started.
+"""Taking over state of other instances or of an earlier incarnation of this instance.
 
-It overrules nothing that this instance has seen itself, and allows nothing that it would not allow without.
+Inherited state never overrides what this instance has measured itself, and never permits anything that this
+instance would not permit without that state.
 """
 
 from __future__ import annotations
@@ -13,13 +14,16 @@
 from gatebank.core.state import BalancerState
 from gatebank.events import InheritedEndpoint, InheritedState, LatencyEstimate
 
-MAX_INHERITED_REPORTS = 4096  # of other incarnations
+MAX_INHERITED_REPORTS = 4096  # Limit on kept reports of other incarnations.
 
 KeyT = TypeVar("KeyT")
 
 
 def inherit_window(state: BalancerState, inherited: InheritedState) -> None:
-    """The rows of the exposure window, or that they are not known."""
+    """Take over the attempts and requests of the exposure window.
+
+    If these are not known, no spare attempts are allowed until one exposure window has passed.
+    """
     window_end = state.started_at + state.settings.release.exposure_window
     if inherited.exposure_window_known:
         state.no_spare_until = state.started_at
@@ -39,7 +43,14 @@
 def inherit_endpoint(
     state: BalancerState, endpoint: EndpointState, inherited: InheritedEndpoint, validity_seconds: float
 ) -> None:
-    """An endpoint's figures; the rate that others send it is believed for that many seconds."""
+    """Take over the state of an endpoint.
+
+    Args:
+        state: the state of this instance.
+        endpoint: the endpoint to update.
+        inherited: the endpoint's inherited state.
+        validity_seconds: how long the inherited slow-start rate is valid.
+    """
     endpoint.latency_ratio = inherited.latency_ratio
     endpoint.failure_rate = max(endpoint.failure_rate, inherited.failure_rate)
     endpoint.last_result_at = state.now
@@ -47,7 +58,7 @@
 
 
 def inherit_means(state: BalancerState, inherited: InheritedState) -> None:
-    """Usual times and the baseline's counts, where they are from more outcomes than this instance's own."""
+    """Take over mean latencies and baseline counts that rest on more outcomes than this instance's own."""
     latencies = state.latencies
     by_class = dict(enumerate(latencies.by_class))
     _adopt_better_sampled(by_class, inherited.latency)
@@ -55,7 +66,7 @@
     _adopt_better_sampled(latencies.baseline, inherited.baseline_latency)
     for statistic, row in inherited.baseline_errors.items():
         own = state.baseline_errors[statistic]
-        state.baseline_errors[statistic] = max(own, row, key=lambda each: each.total)
+        state.baseline_errors[statistic] = max(own, row, key=lambda counts: counts.total)
     latencies.longest_mean = max(latencies.longest_mean, *(estimate.mean for estimate in latencies.by_class))
 
 
@@ -68,13 +79,16 @@
 
 
 def inherit_reports(state: BalancerState, inherited: InheritedState) -> None:
-    """Whole sums of incarnations that may be over, but for this one's own."""
+    """Keep whole LLR sums of incarnations that may have ended, except those of this incarnation."""
     others = [row for row in inherited.reports if row[1].incarnation != state.incarnation]
     state.inherited_reports = others[:MAX_INHERITED_REPORTS]
 
 
 def merge_inherited_reports(state: BalancerState) -> None:
-    """Into the test at hand. The sums are whole, so that merging them again changes nothing."""
+    """Merge inherited reports into the current test.
+
+    The reports hold whole sums, so that merging them again changes nothing.
+    """
     if state.test:
         for instance, report in state.inherited_reports:
             state.test.sums.merge_peer_message(instance, report)
--- a/gatebank/core/latency.py
+++ b/gatebank/core/latency.py
@@ -1,4 +1,4 @@
-"""Usual answer times, in seconds, and how many answers made them."""
+"""Mean latencies in seconds, and the number of answers behind them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def moving_mean(estimate: LatencyEstimate, value: float, weight: float) -> LatencyEstimate:
-    """A mean that forgets: the plain mean at first, then each new value weighs ``weight``.
+    """Return a moving mean with a new value: the plain mean at first, later with weight ``weight``.
 
     >>> moving_mean(moving_mean(LatencyEstimate(0.0, 0), 4.0, 0.1), 2.0, 0.1)
     LatencyEstimate(mean=3.0, samples=2)
@@ -27,21 +27,23 @@
 
 
 class Latencies:
-    """Usual times.
+    """Mean latencies.
 
     Attributes:
-        by_class: over all builds.
-        longest: the longest of these; 1 s while none is known.
-        baseline: of baseline builds, by class and machine kind.
-        before_canary: the same as it was when the present canary came.
-        load_before_canary: first tries a second for each endpoint that answered, then.
-        busy_until: until then late answers may come of more traffic, and not of a build.
+        by_class: the means of all builds by request class.
+        longest_mean: the longest of these means; 1 s while none is known.
+        baseline: the means of baseline builds by request class and machine kind.
+        before_canary: ``baseline`` as of the arrival of the present canary.
+        load_before_canary: new requests per second for each answering endpoint, as of the arrival of the
+            present canary.
+        backlog_until: until this time, late answers may be due to increased traffic rather than to a build.
     """
 
     def __init__(self, class_count: int) -> None:
         self.by_class = [UNKNOWN_LATENCY] * class_count
         self.longest_mean = 1.0
         self.baseline: dict[tuple[int, int], LatencyEstimate] = {}
-        self.before_canary = self.baseline  # until a first canary comes, the times of now are those before it
+        # Until the first canary arrives, the current means are also those before a canary.
+        self.before_canary = self.baseline
         self.load_before_canary = 0.0
         self.backlog_until = 0.0
--- a/gatebank/core/llr_sums.py
+++ b/gatebank/core/llr_sums.py
@@ -1,7 +1,8 @@
 """The log-likelihood ratios (LLRs) of one build at one stage: own, not yet sent, and fused over all.
 
-The design (Yilmaz and Wang, section III): each instance tells the fusers its LLR only when it moved by Δ,
-with the overshoot rounded to one of a few levels at random so that its mean holds; fusers add these up.
+The design (Yilmaz and Wang, section III): each instance sends its LLR to the fusers only after the LLR has
+moved by Δ. The overshoot is rounded at random to one of a few levels, so that its mean is preserved. The
+fusers add up the levels.
 """
 
 from __future__ import annotations
@@ -15,26 +16,29 @@
 
 
 class Statistic:
-    """Which LLR.
+    """The numbers of the statistics, each with an LLR of its own.
 
-    ERRORS is the design's own, over all request classes. The others hold a build or roll it back and never
-    promote it, so that nothing is lost in the sum of all.
+    ERRORS is the statistic of the design, over all request classes. The other statistics can hold a build or
+    roll it back but never promote it, so that a fault visible in one of them is not lost in the sum over all
+    classes.
     """
 
     ERRORS = 0
-    LATE_VERSUS_BASELINE = 1  # beside the baseline
-    LATE_VERSUS_BEFORE_CANARY = 2  # beside the time before the canary came
-    CONNECTIONS_LOST = 3  # on links to any build: a few by chance must not add up to errors
-    FIRST_CLASS = 4  # and one for the errors of each request class
+    LATE_VERSUS_BASELINE = 1  # Answers late in comparison with the baseline.
+    LATE_VERSUS_BEFORE_CANARY = 2  # Answers late in comparison with the time before the canary.
+    # Connections lost on links. Links to any build lose some, so that a few lost by chance must not add up to
+    # errors of the canary.
+    CONNECTIONS_LOST = 3
+    FIRST_CLASS = 4  # Errors of the first request class; the statistics of the other classes follow.
 
     @staticmethod
     def oldest_errors(class_count: int) -> int:
-        """Of errors at the endpoints of the build that started first: behind those of the classes."""
+        """Return the statistic of errors at the build's oldest endpoints, the last one after the classes."""
         return Statistic.FIRST_CLASS + class_count
 
 
 class Odds(NamedTuple):
-    """A bad build's share of bad outcomes, p1 = factor x p0 + extra, and p0 while it is unknown."""
+    """Odds of bad outcomes: p1 = factor x p0 + extra for a bad build, and the default of p0 while unknown."""
 
     factor: float
     extra: float
@@ -42,7 +46,7 @@
 
 
 class Quantization(NamedTuple):
-    """How an LLR's movement becomes a level: Δ, and the size and number of levels above it."""
+    """How the change of an LLR is quantized: the threshold Δ, and the size and number of levels above Δ."""
 
     threshold: float
     level_size: float
@@ -50,25 +54,26 @@
 
 
 class PeerIncarnation(NamedTuple):
-    """One start of one instance."""
+    """One incarnation of one peer instance."""
 
     instance: int
     incarnation: int
 
 
 class LlrSums:
-    """Sums by statistic (0 is the design's own); dropped with the stage, but for the lasting one.
+    """LLR sums by statistic; all but the cross-stage sum are dropped at the end of the stage.
 
     Attributes:
-        build, stage, incarnation: what the sums are of, and this instance's start.
-        own: this instance's.
-        unsent: what no message has told yet.
-        fused: of all instances heard, held at ``floors``.
-        outcomes: of all, in statistic 0.
-        by_peer: sums that others told.
-        evidence: for each statistic, what raised the fused sum, by endpoint hash; of the lasting one since it
-            stood at its floor.
-        lasting: the last statistic, that of the oldest endpoints: it goes on over the build's stages.
+        build, stage, incarnation: the build and stage of the sums, and this instance's incarnation.
+        own: the sums of this instance's outcomes.
+        unsent: the part of ``own`` that no message has reported yet.
+        fused: the sums over all reporting instances; a sum never falls below its value in ``floors``.
+        outcomes: the number of outcomes of all instances in statistic 0, that of the design.
+        sums_by_peer: the sums that other instances reported.
+        evidence_by_endpoint: for each statistic, the increases of the fused sum by endpoint hash; for the
+            cross-stage statistic only those since the sum was last at its floor.
+        cross_stage_statistic: the last statistic, errors at the oldest endpoints, whose fused sum is carried
+            over through the build's stages.
     """
 
     def __init__(
@@ -88,7 +93,10 @@
         self.evidence_by_endpoint: list[dict[int, float]] = [{} for _ in floors]
 
     def add_evidence(self, statistic: int, step: float, outcomes: int, endpoint_hash: int | None) -> None:
-        """Into the fused sum, held at its floor: what turns bad is not covered by its past."""
+        """Add a step to a fused sum, limited by its floor.
+
+        The floor keeps a long good past of a build from hiding that the build has turned bad.
+        """
         floor = self.floors[statistic]
         self.fused[statistic] = max(floor, self.fused[statistic] + step)
         if statistic == 0:
@@ -102,7 +110,7 @@
     def add_own_outcome(
         self, statistic: int, step: float, endpoint_hash: int, random: Callable[[], float]
     ) -> LlrDelta | None:
-        """Add an outcome of this instance's own; past Δ, the message to tell."""
+        """Add an outcome of this instance; once the unsent sum has reached Δ, return the message to send."""
         self.add_evidence(statistic, step, 1, endpoint_hash)
         value, outcomes = self.own[statistic]
         self.own[statistic] = LlrSum(value + step, outcomes + 1)
@@ -120,29 +128,30 @@
             self.incarnation, self.build, self.stage, statistic, signed, unsent.outcomes, endpoint_hash
         )
 
-    def continue_from(self, former: LlrSums) -> None:
-        """Go on with the lasting fused sum of the build's former stage, and with what raised it.
+    def continue_from(self, previous: LlrSums) -> None:
+        """Carry over the cross-stage fused sum and its evidence from the build's previous stage.
 
-        What instances tell begins anew: a fuser that restarts knows what its stage shows.
+        The sums that instances send restart at zero with each stage, so that a restarted fuser learns from
+        them what its stage has shown.
         """
-        self.fused[self.cross_stage_statistic] = former.fused[self.cross_stage_statistic]
-        self.evidence_by_endpoint[self.cross_stage_statistic] = former.evidence_by_endpoint[
+        self.fused[self.cross_stage_statistic] = previous.fused[self.cross_stage_statistic]
+        self.evidence_by_endpoint[self.cross_stage_statistic] = previous.evidence_by_endpoint[
             self.cross_stage_statistic
         ]
 
     def reset_unsent(self) -> None:
-        """A report told the whole sums: nothing is left to tell."""
+        """Clear the unsent sums after a report has sent the whole sums."""
         self.unsent = [NO_SUM] * len(self.unsent)
 
     def merge_peer_message(self, peer: int, message: LlrDelta | InstanceReport) -> None:
-        """Take in what a peer tells of this build and stage; anything else is passed over."""
+        """Add a peer's message to the fused sums; messages on another build or stage are ignored."""
         if (message.build, message.stage) != (short_build(self.build), self.stage):
             return
         peer_sums = self.sums_by_peer.setdefault(PeerIncarnation(peer, message.incarnation), {})
         if isinstance(message, LlrDelta):
             sums: Mapping[int, LlrSum] = {message.statistic: self._sum_after_delta(peer_sums, message)}
             endpoint_hash: int | None = message.endpoint_hash
-        else:  # whole sums: they heal lost, late and repeated deltas
+        else:  # Whole sums correct for lost, late and repeated deltas.
             sums = message.sums
             endpoint_hash = None
         for statistic, new in sums.items():
--- a/gatebank/core/load.py
+++ b/gatebank/core/load.py
@@ -1,4 +1,4 @@
-"""Load and silence, as this instance sees them."""
+"""Load and unanswered attempts as this instance sees them."""
 
 from __future__ import annotations
 
@@ -7,18 +7,23 @@
 
 
 def silence_ratio(state: BalancerState, endpoint: EndpointState) -> float:
-    """For how many usual times attempts have been outstanding with no result."""
+    """Return how long an endpoint has given no result to outstanding attempts.
+
+    The unit is the longest mean latency of the request classes; 0 if no attempt is outstanding.
+    """
     if not endpoint.outstanding:
         return 0.0
     return (state.now - max(endpoint.silent_since, state.resumed_at)) / state.latencies.longest_mean
 
 
 def outstanding_attempts(state: BalancerState, unresponsive_at: float) -> int:
-    """All but those that an unresponsive endpoint or a held-up class holds: they are no load.
+    """Count outstanding attempts that are load.
+
+    Attempts at unresponsive endpoints and attempts of held-up classes are left out: they only wait.
 
     Args:
-        state: of this instance.
-        unresponsive_at: the silence from which an endpoint counts as unresponsive.
+        state: the state of this instance.
+        unresponsive_at: the silence ratio from which an endpoint counts as unresponsive.
     """
     return state.outstanding_by_endpoint.count(
         state.fleet.held_up_classes, lambda endpoint: silence_ratio(state, endpoint) >= unresponsive_at
@@ -26,7 +31,7 @@
 
 
 def load_per_endpoint(state: BalancerState, unresponsive_at: float) -> float:
-    """First tries a second, of all instances, for each endpoint that answers."""
+    """Return new requests per second of all instances, divided by the number of answering endpoints."""
     report = state.fleet.report
     rate = report.request_rate if report else state.traffic.request_rate * state.settings.instance_count
     groups = state.endpoints.groups
--- a/gatebank/core/request_state.py
+++ b/gatebank/core/request_state.py
@@ -1,4 +1,4 @@
-"""A request between its arrival and its final answer, and its attempts."""
+"""The state of a request from its arrival to its final answer, and its attempts."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class Attempt(NamedTuple):
-    """An attempt of a request: where, and when it was started."""
+    """An attempt of a request: its endpoint, and when it was started."""
 
     endpoint: EndpointState
     started_at: float
 
 
 class AttemptRecord(NamedTuple):
-    """An attempt for the statistics; ``build`` is the one that its endpoint ran when it started."""
+    """An attempt for the statistics; ``build`` is the build of the endpoint when the attempt started."""
 
     endpoint: EndpointState
     build: int
@@ -27,12 +27,12 @@
 
     @property
     def latency_key(self) -> LatencyKey:
-        """Which usual time it is held against."""
+        """The key of the mean latency that the attempt is compared with."""
         return LatencyKey(self.request_class, self.endpoint.listed.machine_kind)
 
 
 class SuspectedError(NamedTuple):
-    """An error that may be the request's own fault, held back until another attempt succeeds."""
+    """An error that the request itself may have caused; it counts only once another attempt succeeds."""
 
     attempt: AttemptRecord
     result: AttemptResult
@@ -40,15 +40,15 @@
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """Dropped with its final answer.
+    """The state of a request; dropped with the final answer.
 
     Attributes:
-        request, request_class: what came, and its settings.
-        arrived_at: in the balancer's seconds.
-        attempts: all, in order.
-        outcomes: of each; None while it is outstanding.
+        request, request_class: the request as received, and the settings of its class.
+        arrived_at: when the request arrived, in the balancer's seconds.
+        attempts: all attempts, in order of their start.
+        outcomes: the outcome of each attempt; None while the attempt is outstanding.
         suspected_errors: see `SuspectedError`.
-        timer_generation: which timer it waits for; others are void.
+        timer_generation: the generation of the timer that the request waits for; other timers are stale.
     """
 
     request: Request
@@ -61,19 +61,19 @@
 
     @property
     def deadline(self) -> float:
-        """When the client gives up."""
+        """The time at which the client gives up."""
         return self.arrived_at + self.request.timeout
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
-        """All but those whose outcome proves that they had no effect."""
+        """Return the attempts except those whose outcome proves that they had no effect."""
         pairs = zip(self.attempts, self.outcomes, strict=True)
         return [attempt for attempt, outcome in pairs if outcome not in NEVER_RUN_OUTCOMES]
 
     def add_attempt(self, endpoint: EndpointState, now: float) -> None:
-        """A new attempt, outstanding."""
+        """Add an attempt that starts now and is outstanding."""
         self.attempts.append(Attempt(endpoint, now))
         self.outcomes.append(None)
 
     def outstanding_attempts(self) -> list[int]:
-        """The numbers of attempts without a result."""
+        """Return the numbers of the attempts without a result."""
         return [number for number, outcome in enumerate(self.outcomes) if outcome is None]
--- a/gatebank/core/state.py
+++ b/gatebank/core/state.py
@@ -1,4 +1,4 @@
-"""All that one instance knows and has in hand: what policy/ reads to decide."""
+"""The whole state of one instance, from which policy/ decides."""
 
 from __future__ import annotations
 
@@ -21,37 +21,38 @@
 if TYPE_CHECKING:
     from gatebank.policy.sequential_test import SequentialTest
 
-UNKNOWN_START_AGE_S = 1e9  # s: the age of an endpoint of which no start is told
+UNKNOWN_START_AGE_S = 1e9  # The age of an endpoint whose start is not known, in seconds.
 INCARNATION_BITS = 16
 
 
 class AttemptKey(NamedTuple):
-    """An attempt by its request's number and its own."""
+    """Identifies an attempt by the request's number and the attempt's number within the request."""
 
     request: int
     attempt: int
 
 
 class BalancerState:
-    """The state of one instance; every draw of chance comes from its seed.
+    """The state of one instance; all random numbers derive from the instance's seed.
 
     Attributes:
-        now: the present, in seconds.
-        resumed_at: until then this instance did not run, or had just begun to: what was sent before is not
+        now: the current time, in seconds.
+        resumed_at: when this instance last started or resumed from a pause; attempts sent before then are not
             timed.
-        started_at: when this incarnation began.
-        incarnation: a random number of this start.
+        started_at: when this incarnation started.
+        incarnation: a random number that identifies this incarnation.
         endpoints: the endpoint list.
-        requests: without a final answer, by number.
+        requests: requests without a final answer, by number.
         outstanding: attempts without a result.
-        outstanding_by_endpoint: the same by endpoint.
-        release: what the release service said last of the newest build.
-        test: the sequential test of that build at its stage, while it is judged.
-        baseline_errors: of baseline builds, by statistic of the test.
-        canary_seen: this build was seen as a canary.
-        sticky_builds: the build that a key is bound to; emptied when it rolls back or another comes.
-        no_spare_until: until then no attempt is spared from the cap.
-        inherited_reports: sums of other incarnations, to be merged into each new test.
+        outstanding_by_endpoint: the same attempts, counted by endpoint.
+        release: the last status of the newest build from the release service.
+        test: the sequential test of the newest build at its stage; None while the build is not tested.
+        baseline_errors: bad outcomes of baseline builds, by statistic of the test.
+        canary_seen: this instance has seen the newest build in the canary phase.
+        sticky_builds: the build that each key is bound to; emptied when the newest build is rolled back or
+            replaced.
+        no_spare_until: until this time, no spare attempts are allowed beyond the cap.
+        inherited_reports: LLR sums of other incarnations, to be merged into each new test.
     """
 
     def __init__(self, settings: Settings, seed: int, now: float, resumed_at: float) -> None:
@@ -80,6 +81,6 @@
         self.inherited_reports: list[tuple[int, InstanceReport]] = []
 
     def age(self, endpoint: EndpointState) -> float:
-        """Seconds since the endpoint's process started."""
+        """Return the seconds since the endpoint's process started."""
         started = endpoint.listed.started_at
         return self.now - started if started else UNKNOWN_START_AGE_S
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -1,4 +1,4 @@
-"""What came, was sent and ended in the last seconds."""
+"""Requests that arrived and attempts that were sent or ended in the last seconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FinishedAttempt(NamedTuple):
-    """An attempt that was answered or given up."""
+    """An attempt that was answered successfully or given up."""
 
     finished_at: float
     key: LoadKey
@@ -19,7 +19,14 @@
 
 
 class RateWindows(NamedTuple):
-    """Over how long rates are counted, in seconds, and a tick's weight in the steady rate."""
+    """The windows of request rates; times in seconds.
+
+    Attributes:
+        window: the time over which requests are counted.
+        min_window: the shortest window, used just after the start.
+        tick_interval: the time between updates of the rates.
+        steady_weight: the weight of an update in the smoothed rate.
+    """
 
     window: float
     min_window: float
@@ -28,17 +35,17 @@
 
 
 class Traffic:
-    """Counts that `forget` empties by time.
+    """Sliding windows of requests and attempts; `forget` drops old entries.
 
     Attributes:
         arrivals: requests by tenant.
-        accepted: requests by class, for the exposure cap.
-        first_tries: requests that are no client's repetition.
-        served: successful attempts by class.
-        finished: attempts for this instance's reports.
-        sent: attempts by class, a window for each build.
-        rate: first tries a second.
-        steady_rate: the same over some seconds.
+        accepted: requests by request class, for the exposure cap.
+        new_requests: requests that are not repetitions by a client.
+        served: successful attempts by request class.
+        finished: finished attempts for this instance's reports.
+        attempts_by_build: attempts by request class, in one window per build.
+        request_rate: new requests per second.
+        smoothed_request_rate: the moving mean of ``request_rate`` over several seconds.
     """
 
     def __init__(self) -> None:
@@ -52,14 +59,14 @@
         self.smoothed_request_rate = 0.0
 
     def attempts_to(self, build: int) -> SlidingWindow[int]:
-        """The window of attempts at a build."""
+        """Return the window of attempts at endpoints of a build."""
         window = self.attempts_by_build.get(build)
         if window is None:
             window = self.attempts_by_build[build] = SlidingWindow()
         return window
 
     def forget(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
-        """Drop what is older than these times."""
+        """Drop entries that are older than the given times."""
         for window in (self.accepted, *self.attempts_by_build.values()):
             window.forget(exposure_before)
         self.attempts_by_build = {build: window for build, window in self.attempts_by_build.items() if window}
@@ -70,20 +77,25 @@
         self.new_requests.forget(rates_before)
 
     def update_rates(self, since_start: float, windows: RateWindows) -> None:
-        """The rates of first tries, as of now."""
+        """Update the rates of new requests.
+
+        Args:
+            since_start: seconds since this incarnation started.
+            windows: the windows and weights of the rates.
+        """
         self.request_rate = len(self.new_requests) / min(windows.window, max(windows.min_window, since_start))
         weight = max(windows.steady_weight, windows.tick_interval / max(windows.tick_interval, since_start))
         self.smoothed_request_rate += (self.request_rate - self.smoothed_request_rate) * weight
 
     def loads(self, window: float) -> dict[LoadKey, LoadSample]:
-        """The finished attempts of a window of that many seconds, as load a second."""
-        share = 1 / window
+        """Return the load per second by the finished attempts of the last ``window`` seconds."""
+        per_second = 1 / window
         loads: dict[LoadKey, LoadSample] = {}
         for finished in self.finished:
             row = loads.get(finished.key, NO_LOAD)
-            time = share * finished.duration
+            time = per_second * finished.duration
             loads[finished.key] = LoadSample(
-                row.answer_rate + share * finished.succeeded,
+                row.answer_rate + per_second * finished.succeeded,
                 row.answer_time + time * finished.succeeded,
                 row.given_up_time + time * (not finished.succeeded),
             )
--- a/gatebank/core/voting.py
+++ b/gatebank/core/voting.py
@@ -1,4 +1,4 @@
-"""This instance's votes on the newest build; times in the balancer's seconds."""
+"""The votes of this instance on the newest build; times in the balancer's seconds."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 
 
 class VotingState:
-    """The vote that stands, and the verdict that this instance leans to.
+    """The last vote, and the verdict that the present evidence suggests.
 
     Attributes:
-        voted_test: of which sequential test the vote is, by identity; None before the first.
-        voted_verdict: what it said.
-        voted_at: when it was cast.
-        renew_at: when it is to be cast again.
-        leaning, leaning_since: the verdict by present evidence.
+        voted_test: the sequential test that the last vote belongs to, compared by identity; None before the
+            first vote.
+        voted_verdict: the verdict of the last vote.
+        voted_at: when the last vote was cast.
+        renew_at: when the vote has to be cast again.
+        preferred_verdict, preferred_since: the verdict by present evidence, and since when it has been so.
     """
 
     def __init__(self, now: float) -> None:
@@ -25,17 +26,17 @@
         self.preferred_since = now
 
     def prefer(self, verdict: Verdict, now: float) -> None:
-        """What present evidence says."""
+        """Record the verdict that the present evidence suggests."""
         if verdict is not self.preferred_verdict:
             self.preferred_verdict = verdict
             self.preferred_since = now
 
     def current_vote(self, test: object) -> Verdict:
-        """The verdict voted for in this test."""
+        """Return the verdict of the last vote in this test."""
         return self.voted_verdict if self.voted_test is test else Verdict.NONE
 
     def cast(self, test: object, verdict: Verdict, now: float, renew_at: float) -> None:
-        """A vote was cast."""
+        """Record a vote that was cast."""
         self.voted_test = test
         self.voted_verdict = verdict
         self.voted_at = now
--- a/gatebank/errors.py
+++ b/gatebank/errors.py
@@ -1,7 +1,7 @@
-"""The root of all errors that gatebank raises on purpose."""
+"""The base class of all errors that gatebank raises deliberately."""
 
 from __future__ import annotations
 
 
 class GatebankError(Exception):
-    """What an operator, a client, a peer or a file did not do as agreed; the text is one plain line."""
+    """An operator, a client, a peer or a file broke the agreed form; the message is one plain line."""
--- a/gatebank/events.py
+++ b/gatebank/events.py
@@ -1,8 +1,8 @@
-"""Events: what a host tells the balancer, and the types in them.
+"""The types of the events that a host passes to the balancer.
 
-For each event the host sets ``balancer.now``, calls the event's method, and carries out the actions it finds
-in ``balancer.actions``. Times are seconds with fractions, ids small whole numbers that the host maps at its
-boundary, shares fractions of one.
+For each event the host sets ``balancer.now``, calls the event's method, and carries out the actions in
+``balancer.actions``. Times are fractional seconds, ids are small integers that the host maps to names at its
+boundary, and shares are fractions of 1.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class RetrySafety(Enum):
-    """Whether a request may run again; the values are those of earlier logs and captures."""
+    """Whether a request may run more than once; the values are the names in logs and captures."""
 
     IDEMPOTENT = "rerunnable"
     KEYED = "ticketed"
@@ -24,7 +24,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a health check ended; the values are the names of the counts in log lines."""
+    """How an attempt or a health check ended; the values are the names of counts in log lines."""
 
     SUCCESS = "satisfied"
     ERROR = "error"
@@ -37,15 +37,12 @@
 
 
 GIVEN_UP_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)
-NEVER_RUN_OUTCOMES = (
-    Outcome.REJECTED,
-    Outcome.NO_CONNECTION,
-    Outcome.NOT_SENT,
-)  # such an attempt had no effect
+# Outcomes of attempts that certainly had no effect at the endpoint.
+NEVER_RUN_OUTCOMES = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
 
 
 class Condition(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The condition of an endpoint according to the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -53,7 +50,7 @@
 
 
 class Phase(IntEnum):
-    """Where the newest build stands at the release service."""
+    """The phase of the newest build at the release service."""
 
     CANARY = 0
     ROLLING_BACK = 1
@@ -67,7 +64,7 @@
 
 
 class Verdict(IntEnum):
-    """What a vote asks for."""
+    """The verdict on a build that a vote expresses."""
 
     NONE = 0
     PROMOTE = 1
@@ -81,7 +78,10 @@
 
 
 class ReplyStatus(Enum):
-    """How the release service answered a vote; ``ACCEPTED`` also where it told its status by itself."""
+    """How the release service answered a vote.
+
+    ``ACCEPTED`` also marks a status that the release service sent without being asked.
+    """
 
     ACCEPTED = "counted"
     STALE = "moot"
@@ -92,15 +92,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One line of the endpoint list.
+    """One entry of the endpoint list.
 
     Attributes:
-        index: the host's small number for this endpoint.
-        name_hash: 16 bits of its name, the same at all instances.
-        machine_kind, zone, cell, build: as listed; numbers in the settings' order.
-        started: when its process started, in the balancer's seconds; None: long ago.
-        condition: whether it may be sent to.
-        weight: its size beside others.
+        index: the host's index of this endpoint.
+        name_hash: a 16-bit hash of the endpoint's name, the same at all instances.
+        machine_kind, zone, cell, build: the values of the list; machine kinds and zones are indices in the
+            order of the settings.
+        started_at: when the endpoint's process started, in the balancer's seconds; None: unknown, taken as
+            long ago.
+        condition: whether requests may be sent to the endpoint.
+        weight: the endpoint's capacity relative to other endpoints.
     """
 
     index: int
@@ -116,15 +118,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request as its client handed it over.
+    """A request as received from its client.
 
     Attributes:
-        number: the host's small number; used again only once the request is settled.
+        number: the host's number of the request; reused only once the request is answered and has no
+            outstanding attempt.
         request_class, tenant: indices in the settings.
         timeout: seconds from now until the client gives up.
-        cost_hint: expected work in seconds on a standard core, where known.
-        key: what the request is about; requests of one key may be sticky.
-        is_client_retry: the client marked it as a repetition.
+        cost_hint: expected work in seconds on a standard core; None if unknown.
+        key: the entity that the request concerns; requests with the same key may be sticky.
+        is_client_retry: the client marked the request as a repetition.
     """
 
     number: int
@@ -141,11 +144,11 @@
     """How one attempt ended.
 
     Attributes:
-        attempt: its number within the request, from 0.
-        outcome: how it ended.
-        duration: seconds since it was sent.
-        request_done: the request has its final answer, by this attempt or before.
-        load_report: values in the order of the settings' ``report_fields``.
+        attempt: the attempt's number within its request, from 0.
+        outcome: how the attempt ended.
+        duration: seconds since the attempt was sent.
+        request_done: the request has its final answer, from this attempt or an earlier one.
+        load_report: values in the order of ``report_fields`` in the settings.
     """
 
     attempt: int
@@ -157,14 +160,16 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseStatus:
-    """What the release service said of the newest build; the last five are missing where a vote failed.
+    """The status of the newest build from the release service.
+
+    After a failed vote, ``build``, ``stage``, ``phase``, ``cap`` and ``age`` are not known.
 
     Attributes:
-        reply: how a vote was answered.
-        is_vote_reply: False where the status was told unasked.
-        build, stage, phase: where the newest build stands.
+        reply: how the vote was answered.
+        is_vote_reply: False if the release service sent the status without being asked.
+        build, stage, phase: the newest build and its progress.
         cap: the share of requests that may be sent to the canary.
-        age: seconds since this state began.
+        age: seconds since this status began.
     """
 
     reply: ReplyStatus
@@ -178,14 +183,14 @@
 
 @dataclass(slots=True, frozen=True)
 class InheritedEndpoint:
-    """What other instances know of an endpoint.
+    """The state of an endpoint as other instances reported it.
 
     Attributes:
-        latency_ratio: its answer times over the usual ones.
-        failure_rate: share of its recent attempts that failed.
-        ejected: it must pass health checks before it is used.
-        ejection_time: seconds for which it was ejected last.
-        cold_rate: attempts a second that others send it while it warms up.
+        latency_ratio: the endpoint's latency relative to the mean of its request classes.
+        failure_rate: share of the endpoint's recent attempts that failed.
+        ejected: the endpoint must pass health checks before it is used.
+        ejection_time: duration of the last ejection, in seconds.
+        slow_start_rate: attempts per second that other instances send to the endpoint while it warms up.
     """
 
     latency_ratio: float
@@ -196,7 +201,11 @@
 
 
 class BaselineErrors(NamedTuple):
-    """Bad outcomes of the baseline build in one statistic: faded counts, and a fast moving rate."""
+    """Bad outcomes of the baseline build in one statistic.
+
+    ``bad`` and ``total`` are exponentially decayed counts; ``recent_rate`` is a moving rate of bad outcomes
+    that reacts faster.
+    """
 
     bad: float
     total: float
@@ -204,14 +213,14 @@
 
 
 class LatencyEstimate(NamedTuple):
-    """A moving mean of answer times in seconds, and from how many answers it was made."""
+    """A moving mean of latencies in seconds, and the number of answers behind it."""
 
     mean: float
     samples: int
 
 
 class InheritedAttempt(NamedTuple):
-    """An attempt of the exposure window that a former incarnation started."""
+    """An attempt within the exposure window that an earlier incarnation started; ``age`` in seconds."""
 
     age: float
     request_class: int
@@ -219,7 +228,7 @@
 
 
 class InheritedRequest(NamedTuple):
-    """A request of the exposure window that a former incarnation accepted."""
+    """A request within the exposure window that an earlier incarnation accepted; ``age`` in seconds."""
 
     age: float
     request_class: int
@@ -227,16 +236,19 @@
 
 @dataclass(slots=True, frozen=True)
 class InheritedState:
-    """What others know, weighed by `gatebank.state_transfer`, in the host's indices.
+    """State of other instances and of earlier incarnations, merged by `gatebank.state_transfer`.
+
+    All indices are the host's.
 
     Attributes:
-        endpoints: by endpoint index.
-        reports: whole sums of other incarnations, with the instance that made them.
-        baseline_errors: by statistic of the sequential test.
-        latency: by request class.
-        baseline_latency: by request class and machine kind.
-        sent, accepted: this instance's own rows of the last exposure window, aged from its start.
-        window_known: those rows are complete.
+        endpoints: endpoint state by endpoint index.
+        reports: whole LLR sums of other incarnations, with the number of the instance that sent them.
+        baseline_errors: bad outcomes of the baseline by statistic of the sequential test.
+        latency: mean latency by request class.
+        baseline_latency: mean latency of baseline builds by request class and machine kind.
+        sent, accepted: attempts and requests of this instance's earlier incarnations in the last exposure
+            window; ages are relative to the start of this incarnation.
+        exposure_window_known: ``sent`` and ``accepted`` are complete.
     """
 
     endpoints: Mapping[int, InheritedEndpoint]
--- a/gatebank/peer_messages.py
+++ b/gatebank/peer_messages.py
@@ -1,8 +1,8 @@
-"""The messages that instances send each other, and their bytes. Encoding only: policy/ says what is told.
+"""The messages between instances and their binary encoding. What is sent and when is decided in policy/.
 
-An `LlrDelta` is one LLR's message of the design: sign and rounded size as one signed level. An
-`InstanceReport` holds a sender's whole sums and its load; a `FleetReport` the load of all instances together,
-with its sender's verdict on a build at a stage.
+An `LlrDelta` is the message of the design for one LLR: sign and rounded size as one signed level. An
+`InstanceReport` holds the sender's whole sums and its load. A `FleetReport` holds the load of all instances
+together and its sender's verdict on a build at a stage.
 
 >>> delta = LlrDelta(incarnation=7, build=42, stage=1, statistic=0, level=-3, outcomes=12, endpoint_hash=513)
 >>> decode(encode(delta)) == delta, len(encode(delta))
@@ -24,33 +24,35 @@
 from typing import NamedTuple
 from zlib import crc32
 
-_HEAD = struct.Struct("<BHHB")  # tag, incarnation, build, stage
+_HEADER = struct.Struct("<BHHB")  # tag, incarnation, build, stage
 _DELTA = struct.Struct("<BbHH")  # statistic, level, outcomes, endpoint hash
 _REPORT_LOAD = struct.Struct("<eeB")  # request rate, outstanding attempts, rows of load
 _SUM = struct.Struct("<BeH")  # statistic, value, outcomes
-_LOAD = struct.Struct("<BBeee")  # request class, kind and side, the three figures of a sample
+_LOAD = struct.Struct("<BBeee")  # request class, machine kind and side, the three figures of a sample
 _FLEET = struct.Struct("<BffHBB")  # tag, request rate, outstanding, build, stage, verdict
 
-# Tags 2, 3 and 5 were earlier forms without machine kind, side or verdict: they are dropped and counted.
+# Tags 2, 3 and 5 marked earlier formats without machine kind, side or verdict. Such messages are dropped and
+# counted.
 _DELTA_TAG = 1
 _REPORT_TAG = 4
 _FLEET_TAG = 6
 
 MAX_MESSAGE_BYTES = 256
-_MAX_LOAD_ROWS = 24  # that fit a message beside some sums
-_MAX_HALF_FLOAT = 65000.0  # the largest number in two bytes
+_MAX_LOAD_ROWS = 24  # leaves room for some sums in a message
+_MAX_HALF_FLOAT = 65000.0  # about the largest number that a two-byte float holds
 _MAX_VERDICT = 3
-_MAX_FIGURE = 1e6  # what no instance would send
+_MAX_FIGURE = 1e6  # no working instance sends figures of this size
 _MASK_16_BITS = 0xFFFF
 
-# Sides of a load row: endpoints of a baseline build, of the canary, of any that started just now.
+# Sides of a load row: endpoints of a baseline build, endpoints of the canary, and endpoints of any build that
+# have just started.
 BASELINE = 0
 CANARY = 1
 WARMING_UP = 2
 
 
 class LoadKey(NamedTuple):
-    """What a row of load is of; indices in the settings, and a side."""
+    """Identifies a row of load: indices in the settings, and a side."""
 
     request_class: int
     machine_kind: int
@@ -58,7 +60,7 @@
 
 
 class LoadSample(NamedTuple):
-    """Answers a second, the seconds they took, and the seconds of attempts that were given up."""
+    """Load per second: the number of answers, their total latency, and the time of attempts given up."""
 
     answer_rate: float
     answer_time: float
@@ -66,14 +68,14 @@
 
 
 class LlrSum(NamedTuple):
-    """A sum of log-likelihood ratios, and from how many outcomes it was made."""
+    """A sum of log-likelihood ratios, and the number of outcomes behind it."""
 
     value: float
     outcomes: int
 
 
 class MeanLatency(NamedTuple):
-    """Seconds an answer takes, without and with the time of attempts that were given up."""
+    """Mean seconds per answer, without and with the time of attempts that were given up."""
 
     per_answer: float
     including_given_up: float
@@ -85,16 +87,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LlrDelta:
-    """That one LLR moved by more than Δ.
+    """The change of one LLR, sent after the LLR has moved by more than Δ.
 
     Attributes:
-        incarnation: tells one start of an instance from others.
-        build: the last 16 bits of its number, as in the messages below.
-        stage: of the release.
-        statistic: which LLR.
-        level: sign and rounded size.
-        outcomes: how many came since the last message.
-        endpoint_hash: of the endpoint that tipped it.
+        incarnation: distinguishes the starts of an instance.
+        build: the last 16 bits of the build's number, as in the other messages.
+        stage: the stage of the release.
+        statistic: the number of the statistic that the LLR belongs to.
+        level: the sign and rounded size of the change.
+        outcomes: the number of outcomes since the last message.
+        endpoint_hash: the name hash of the endpoint whose outcome moved the LLR past Δ.
     """
 
     incarnation: int
@@ -108,7 +110,11 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceReport:
-    """One instance's whole sums, by statistic, and its load: first tries a second, attempts outstanding."""
+    """The whole sums of one instance by statistic, and its load.
+
+    ``request_rate`` counts new requests per second, without repetitions by clients; ``outstanding`` counts
+    outstanding attempts.
+    """
 
     incarnation: int
     build: int
@@ -131,22 +137,27 @@
     verdict: int = 0
 
     def by_request_class(self, count: int) -> list[LoadSample]:
-        """Load of each of so many request classes, over kinds and sides.
+        """Return the load of each of ``count`` request classes, summed over machine kinds and sides.
 
         >>> loads = {LoadKey(1, 0, 1): LoadSample(2.0, 0.5, 3.0)}
         >>> loads[LoadKey(1, 1, 0)] = LoadSample(1.0, 0.5, 0.0)
         >>> FleetReport(9.0, 1.0, loads).by_request_class(2)[1]
         LoadSample(answer_rate=3.0, answer_time=1.0, given_up_time=3.0)
         """
-        rows = [
-            [row for key, row in self.loads.items() if key.request_class == each] for each in range(count)
+        rows_by_class = [
+            [row for key, row in self.loads.items() if key.request_class == index] for index in range(count)
         ]
         return [
-            LoadSample(*(sum(column, 0.0) for column in zip(NO_LOAD, *each, strict=True))) for each in rows
+            LoadSample(*(sum(column, 0.0) for column in zip(NO_LOAD, *class_rows, strict=True)))
+            for class_rows in rows_by_class
         ]
 
     def baseline_latency(self, min_answer_rate: float) -> dict[tuple[int, int], MeanLatency]:
-        """The baseline's times by request class and kind; none where it has fewer answers a second."""
+        """Return the baseline's mean latencies by request class and machine kind.
+
+        Args:
+            min_answer_rate: entries with fewer answers per second are left out.
+        """
         rows = {
             key[:2]: row
             for key, row in self.loads.items()
@@ -162,7 +173,7 @@
     def canary_latency_ratio(
         self, baseline: Mapping[tuple[int, int], MeanLatency], min_answer_rate: float
     ) -> float:
-        """The time an answer takes the canary over the baseline's; 0 where too little is known of either.
+        """Return the canary's mean time per answer relative to the baseline's, 0 if too little is known.
 
         >>> rows = {
         ...     LoadKey(0, 0, BASELINE): LoadSample(9.0, 1.8, 0.0),
@@ -173,31 +184,31 @@
         >>> fleet.canary_latency_ratio(fleet.baseline_latency(1.0), 1.0), fleet.canary_latency_ratio({}, 1.0)
         (2.0, 0.0)
         """
-        answers = 0.0
-        taken = 0.0
-        expected = 0.0
+        answer_rate = 0.0
+        canary_time = 0.0
+        expected_time = 0.0
         for key, row in self.loads.items():
             if key.side == CANARY and key[:2] in baseline:
-                answers += row.answer_rate
-                taken = taken + row.answer_time + row.given_up_time
-                expected += row.answer_rate * baseline[key[:2]].including_given_up
-        return taken / expected if answers >= min_answer_rate and expected > 0 else 0.0
+                answer_rate += row.answer_rate
+                canary_time = canary_time + row.answer_time + row.given_up_time
+                expected_time += row.answer_rate * baseline[key[:2]].including_given_up
+        return canary_time / expected_time if answer_rate >= min_answer_rate and expected_time > 0 else 0.0
 
 
 PeerMessage = LlrDelta | InstanceReport | FleetReport
 
 
 def name_hash(name: str) -> int:
-    """The number that all instances have for an endpoint of this name."""
+    """Return the hash of an endpoint's name, which is the same at all instances."""
     return crc32(name.encode()) & _MASK_16_BITS
 
 
 def merge_reports(reports: list[InstanceReport], verdict: int = 0) -> FleetReport:
-    """The sums of the loads, and a verdict on the build and stage of the last report.
+    """Return a fleet report with the summed loads and a verdict on the build and stage of the last report.
 
-    >>> one = {LoadKey(0, 0, 0): LoadSample(2.0, 0.5, 0.0)}
-    >>> two = {LoadKey(0, 0, 0): LoadSample(1.0, 1.5, 3.0)}
-    >>> reports = [InstanceReport(1, 0, 0, 2.0, 1, one, {}), InstanceReport(2, 7, 1, 1.0, 2, two, {})]
+    >>> first = {LoadKey(0, 0, 0): LoadSample(2.0, 0.5, 0.0)}
+    >>> second = {LoadKey(0, 0, 0): LoadSample(1.0, 1.5, 3.0)}
+    >>> reports = [InstanceReport(1, 0, 0, 2.0, 1, first, {}), InstanceReport(2, 7, 1, 1.0, 2, second, {})]
     >>> merged = merge_reports(reports, 1)
     >>> merged.request_rate, merged.outstanding, merged.loads[0, 0, 0].answer_time, merged.build
     (3.0, 3, 2.0, 7)
@@ -217,7 +228,7 @@
 
 
 def short_build(build: int) -> int:
-    """A build's number as messages hold it.
+    """Return a build's number as messages hold it, cut to its last 16 bits.
 
     >>> decode(encode(LlrDelta(7, 20261202, 0, 0, 1, 1, 1))).build == short_build(20261202)
     True
@@ -226,19 +237,19 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """The bytes of a message; figures that do not fit are cut, and so are rows beyond the size."""
+    """Encode a message; too large figures are clamped, and rows beyond the maximum size are left out."""
     if isinstance(message, LlrDelta):
-        head = _HEAD.pack(_DELTA_TAG, message.incarnation, short_build(message.build), message.stage)
+        header = _HEADER.pack(_DELTA_TAG, message.incarnation, short_build(message.build), message.stage)
         outcomes = min(message.outcomes, _MASK_16_BITS)
-        return head + _DELTA.pack(message.statistic, message.level, outcomes, message.endpoint_hash)
+        return header + _DELTA.pack(message.statistic, message.level, outcomes, message.endpoint_hash)
     loads = _encode_loads(message.loads)
     if isinstance(message, FleetReport):
         build = short_build(message.build)
         rate = message.request_rate
-        head = _FLEET.pack(_FLEET_TAG, rate, message.outstanding, build, message.stage, message.verdict)
-        return head + loads
-    head = _HEAD.pack(_REPORT_TAG, message.incarnation, short_build(message.build), message.stage)
-    head += _REPORT_LOAD.pack(
+        header = _FLEET.pack(_FLEET_TAG, rate, message.outstanding, build, message.stage, message.verdict)
+        return header + loads
+    header = _HEADER.pack(_REPORT_TAG, message.incarnation, short_build(message.build), message.stage)
+    header += _REPORT_LOAD.pack(
         min(_MAX_HALF_FLOAT, message.request_rate),
         min(_MAX_HALF_FLOAT, message.outstanding),
         len(loads) // _LOAD.size,
@@ -247,8 +258,8 @@
         _SUM.pack(statistic, max(-_MAX_HALF_FLOAT, min(_MAX_HALF_FLOAT, value)), min(outcomes, _MASK_16_BITS))
         for statistic, (value, outcomes) in message.sums.items()
     ]
-    fitting = (MAX_MESSAGE_BYTES - len(head + loads)) // _SUM.size
-    return head + loads + b"".join(sums[:fitting])
+    fitting = (MAX_MESSAGE_BYTES - len(header + loads)) // _SUM.size
+    return header + loads + b"".join(sums[:fitting])
 
 
 def _encode_loads(loads: Loads) -> bytes:
@@ -260,12 +271,12 @@
 
 
 def decode(data: bytes) -> PeerMessage | None:
-    """The message, or None where the bytes are malformed or hold what no instance would send."""
+    """Decode a message; None if the bytes are malformed or hold implausible figures."""
     try:
         if data[:1] == bytes((_FLEET_TAG,)):
             return _decode_fleet_report(data)
-        tag, incarnation, build, stage = _HEAD.unpack_from(data)
-        body = data[_HEAD.size :]
+        tag, incarnation, build, stage = _HEADER.unpack_from(data)
+        body = data[_HEADER.size :]
         if tag == _DELTA_TAG:
             statistic, level, outcomes, endpoint_hash = _DELTA.unpack(body)
             delta = LlrDelta(incarnation, build, stage, statistic, level, outcomes, endpoint_hash)
--- a/gatebank/settings.py
+++ b/gatebank/settings.py
@@ -1,8 +1,8 @@
-"""The settings of one instance, typed, read once from the settings' own names.
+"""The typed settings of one instance, read once from the operators' settings.
 
-The operators' names (``limits.max-attempts``, ``domain.caps``) are mapped here and nowhere else; milliseconds
-become seconds. Only what the program uses is read: docs/design.md lists what the settings offer besides. What
-the settings lack has the default of its field.
+The operators' names (``limits.max-attempts``, ``domain.caps``) are mapped here and nowhere else, and
+milliseconds are converted to seconds. Only values that the program uses are read; docs/design.md lists the
+other values that the settings may hold. A missing value gets the default of its field.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from gatebank.events import RetrySafety
 
 SECONDS_PER_MILLISECOND = 0.001
-UNLIMITED_RATE = 1e9  # per second, where the settings name no limit
+UNLIMITED_RATE = 1e9  # per second, if the settings give no limit
 RETRY_SAFETY_BY_NAME = {
     "free": RetrySafety.IDEMPOTENT,
     "guarded": RetrySafety.KEYED,
@@ -24,16 +24,18 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestClass:
-    """Requests of one kind; times in seconds.
+    """A class of requests; times in seconds.
 
     Attributes:
-        name: its index, where the settings name none.
-        retry_safety: whether a request may run again.
-        latency_objective: an answer within this time has its full worth.
-        deadline: the client's whole waiting time; None where the settings tell none.
-        priority_weight: the worth of a request.
-        retry_group: ``all``, ``zone`` or ``cell``: the endpoints that discard repetitions of a keyed request.
-        retry_window: for how long they discard them, from the start of the first attempt that may have run.
+        name: the class's name; its index if the settings give no name.
+        retry_safety: whether a request may run more than once.
+        latency_objective: an answer within this time has its full value.
+        deadline: the total time that the client waits; None if the settings give none.
+        priority_weight: the value of a request.
+        retry_group: ``all``, ``zone`` or ``cell``: the group of endpoints that discard repetitions of a keyed
+            request.
+        retry_window: for how long the endpoints of the group discard repetitions, from the start of the first
+            attempt that may have run.
     """
 
     name: str
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tenant:
-    """An account; ``share`` is its fraction of the service."""
+    """A tenant; ``share`` is the fraction of the service that it is entitled to."""
 
     name: str
     share: float = 0.0
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits:
-    """What the deployment permits; times in seconds, None where the settings tell none."""
+    """The limits of the deployment; times in seconds, None if the settings give none."""
 
     max_attempts: int = 1
     may_cancel: bool = False
@@ -68,10 +70,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SlowStart:
-    """How an endpoint starts; times in seconds.
+    """How an endpoint warms up after its start; times in seconds.
 
-    Its capacity grows from ``initial_capacity`` (a fraction) to the whole within ``warm_up``; over
-    ``overload_multiple`` times of what it has by then, for ``overload_window``, it falls over.
+    Its capacity grows from ``initial_capacity`` (a fraction) to the full capacity within ``warm_up``. An
+    endpoint that gets more than ``overload_multiple`` times its current capacity for ``overload_window``
+    fails.
     """
 
     initial_capacity: float = 1.0
@@ -86,15 +89,15 @@
 
     Attributes:
         caps: for each stage, the share of requests that may be sent to the canary.
-        counts_by_class: the cap holds for each request class separately.
+        counts_by_class: the cap applies to each request class separately.
         exposure_window: the time over which attempts at the canary are counted.
-        spare_attempts: attempts in a window that the cap does not count.
-        sticky_keys: a key that the canary answered is sent to no earlier build.
-        shielded_stages: in stages below, the canary gets idempotent requests only.
-        promote_votes, rollback_votes: instances that it takes.
-        votes_per_second: what the release service accepts of all instances together.
-        vote_timeout: the longest wait for the answer to a vote.
-        vote_lifetime: for how long a vote stands.
+        spare_attempts: attempts per exposure window that are allowed beyond the cap.
+        sticky_keys: a key that the canary has answered is not sent to earlier builds any more.
+        idempotent_only_stages: the canary gets idempotent requests only in stages below this number.
+        promote_votes, rollback_votes: votes needed to promote the canary or to roll it back.
+        votes_per_second: the rate of votes that the release service accepts from all instances together.
+        vote_timeout: the longest wait for the reply to a vote.
+        vote_lifetime: how long a vote stays valid.
     """
 
     caps: Sequence[float] = (0.0,)
@@ -115,10 +118,10 @@
     """All settings of an instance.
 
     Attributes:
-        instance: its number among all, from 0.
-        instance_count: how many instances are configured.
-        polls_endpoints: discovery is asked; otherwise an agent pushes the endpoint list.
-        weighs_by_work: a request's worth is measured by its work, not by the request.
+        instance: the number of this instance among all instances, from 0.
+        instance_count: the number of configured instances.
+        polls_endpoints: this instance polls discovery; otherwise an agent pushes the endpoint list.
+        weighs_by_work: the value of a request grows with its work; otherwise each request counts the same.
         kinds, zones: the names of machine kinds and zones, in the order of their indices.
         report_fields: the values of a load report, in order.
     """
@@ -138,56 +141,60 @@
 
 
 class _Section:
-    """One object of the settings; what it lacks is left to the default of the field."""
+    """One object of the settings; missing values are left to the defaults of the fields."""
 
-    def __init__(self, given: object) -> None:
-        self.given: Mapping[str, Any] = given if isinstance(given, Mapping) else {}
+    def __init__(self, raw: object) -> None:
+        self.raw: Mapping[str, Any] = raw if isinstance(raw, Mapping) else {}
 
-    def present(self, **names: str) -> dict[str, Any]:
-        """The values there are, by field; each argument names a field and the settings' word for it."""
-        found = {name: self.given.get(word) for name, word in names.items()}
-        return {name: value for name, value in found.items() if value is not None}
+    def present(self, **keys: str) -> dict[str, Any]:
+        """Return the values that are present, by field name.
 
-    def seconds(self, **names: str) -> dict[str, Any]:
-        """Likewise, from milliseconds to seconds."""
-        return {name: value * SECONDS_PER_MILLISECOND for name, value in self.present(**names).items()}
+        Args:
+            keys: for each field, the key of its value in the settings.
+        """
+        values = {name: self.raw.get(key) for name, key in keys.items()}
+        return {name: value for name, value in values.items() if value is not None}
 
+    def seconds(self, **keys: str) -> dict[str, Any]:
+        """Return the durations that are present, by field name, converted from milliseconds to seconds."""
+        return {name: value * SECONDS_PER_MILLISECOND for name, value in self.present(**keys).items()}
 
-def read_settings(given: Mapping[str, Any]) -> Settings:
-    """The settings from their own form.
+
+def read_settings(raw: Mapping[str, Any]) -> Settings:
+    """Read the settings from the operators' form.
 
     Raises:
-        KeyError, TypeError, ValueError, AttributeError: a class lacks its semantics, or a value has a
-            wrong form.
+        KeyError, TypeError, ValueError, AttributeError: a request class lacks its retry semantics, or a value
+            has a wrong type.
     """
-    section = _Section(given)
+    section = _Section(raw)
     return Settings(
         **section.present(instance="me", instance_count="balancers", kinds="kinds", zones="zones"),
-        **_Section(given.get("report")).present(report_fields="fields"),
-        polls_endpoints=given.get("registry-mode") == "ask",
-        weighs_by_work=given.get("value-by") == "work",
+        **_Section(raw.get("report")).present(report_fields="fields"),
+        polls_endpoints=raw.get("registry-mode") == "ask",
+        weighs_by_work=raw.get("value-by") == "work",
         request_classes=tuple(
-            _request_class(each, str(index)) for index, each in enumerate(given["classes"])
+            _request_class(entry, str(index)) for index, entry in enumerate(raw["classes"])
         ),
-        tenants=tuple(_tenant(each, str(index)) for index, each in enumerate(given.get("accounts", ()))),
-        limits=_limits(_Section(given.get("limits"))),
-        slow_start=_slow_start(_Section(given.get("invariants"))),
-        release=_release_policy(_Section(given.get("domain"))),
+        tenants=tuple(_tenant(entry, str(index)) for index, entry in enumerate(raw.get("accounts", ()))),
+        limits=_limits(_Section(raw.get("limits"))),
+        slow_start=_slow_start(_Section(raw.get("invariants"))),
+        release=_release_policy(_Section(raw.get("domain"))),
     )
 
 
-def _request_class(given: Mapping[str, Any], default_name: str) -> RequestClass:
-    section = _Section(given)
+def _request_class(raw: Mapping[str, Any], default_name: str) -> RequestClass:
+    section = _Section(raw)
     return RequestClass(
-        name=given.get("name", default_name),
+        name=raw.get("name", default_name),
         **section.present(priority_weight="worth", retry_group="group"),
         **section.seconds(latency_objective="on-time-ms", deadline="deadline-ms", retry_window="window-ms"),
-        retry_safety=RETRY_SAFETY_BY_NAME[given["semantics"]],
+        retry_safety=RETRY_SAFETY_BY_NAME[raw["semantics"]],
     )
 
 
-def _tenant(given: Mapping[str, Any], default_name: str) -> Tenant:
-    return Tenant(name=given.get("name", default_name), **_Section(given).present(share="share"))
+def _tenant(raw: Mapping[str, Any], default_name: str) -> Tenant:
+    return Tenant(name=raw.get("name", default_name), **_Section(raw).present(share="share"))
 
 
 def _limits(section: _Section) -> Limits:
@@ -226,5 +233,5 @@
             vote_timeout="call-timeout-ms",
             vote_lifetime="vote-ttl-ms",
         ),
-        counts_by_class=section.given.get("counted-by") == "per_lane",
+        counts_by_class=section.raw.get("counted-by") == "per_lane",
     )
--- a/gatebank/signal_mask.py
+++ b/gatebank/signal_mask.py
@@ -1,8 +1,8 @@
-"""Blocks SIGHUP while ``serve`` starts; imported before all else.
+"""Blocks SIGHUP while ``serve`` starts; imported before any other module.
 
-Without a handler the signal would end a process that is still importing. Blocked, it stays pending, and the
-service lets it through once its handler stands; a configuration replaced meanwhile is then read. Sub-commands
-keep the system's default.
+Without a handler, the signal would end a process that is still importing modules. A blocked signal stays
+pending until the service has installed its handler and unblocks it; the service then reads a configuration
+that was replaced in the meantime. The other sub-commands keep the system's default handling.
 """
 
 from __future__ import annotations
--- a/gatebank/simulator/__init__.py
+++ b/gatebank/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: decodes it, maps ids to small indices, and hosts marshals that share nothing."""
+"""The simulator's adapter: decodes its wire format, maps ids to indices, and hosts independent instances."""
--- a/gatebank/simulator/timer_names.py
+++ b/gatebank/simulator/timer_names.py
@@ -1,4 +1,4 @@
-"""Timers by the names that they have on the simulator's wire, which stay as they were recorded."""
+"""The names of timers on the simulator's wire, which must match the names in existing recordings."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def timer_name(timer: Timer) -> str:
-    """The name of a timer.
+    """Return the name of a timer.
 
     >>> timer_name(Tick()), timer_name(EjectionTimer(3)), timer_name(RequestTimer(17, 4))
     ('beat', 'probe 3', '17 4')
@@ -27,10 +27,10 @@
 
 
 def timer_from_name(name: str) -> Timer:
-    """The timer of a name that `timer_name` gave.
+    """Return the timer with a name made by `timer_name`.
 
     Raises:
-        ValueError: the name is none of these.
+        ValueError: the name is not a timer's name.
 
     >>> [timer_from_name(name) for name in ("follow", "probe 3", "17 4")]
     [WatchTimer(), EjectionTimer(endpoint=3), RequestTimer(request=17, generation=4)]
