--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -98,8 +98,8 @@
         """Set the current time, before each event.
 
         An instance that missed its ticks was not running: its host was paused or its core was busy with other
-        processes. All input of the pause then arrives at once. It does not show that answers were late, that
-        endpoints or fusers were silent, or that this instance has to fall back to its own evidence.
+        processes. All input of the pause then arrives at once. Such input does not show that answers were
+        late or that endpoints or fusers were silent, and it makes no fallback due.
         """
         state = self.state
         if now > state.now + measurement.STALL_TICKS * measurement.TICK_S:
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -25,13 +25,13 @@
         window: the time over which requests are counted.
         min_window: the shortest window, used just after the start.
         tick_interval: the time between updates of the rates.
-        steady_weight: the weight of an update in the smoothed rate.
+        smoothing_weight: the weight of an update in the smoothed rate.
     """
 
     window: float
     min_window: float
     tick_interval: float
-    steady_weight: float
+    smoothing_weight: float
 
 
 class Traffic:
@@ -84,7 +84,9 @@
             windows: the windows and weights of the rates.
         """
         self.request_rate = len(self.new_requests) / min(windows.window, max(windows.min_window, since_start))
-        weight = max(windows.steady_weight, windows.tick_interval / max(windows.tick_interval, since_start))
+        weight = max(
+            windows.smoothing_weight, windows.tick_interval / max(windows.tick_interval, since_start)
+        )
         self.smoothed_request_rate += (self.request_rate - self.smoothed_request_rate) * weight
 
     def loads(self, window: float) -> dict[LoadKey, LoadSample]:
