--- a/gatebank/core/latency.py
+++ b/gatebank/core/latency.py
@@ -36,7 +36,7 @@
         before_canary: ``baseline`` as of the arrival of the present canary.
         load_before_canary: new requests per second for each answering endpoint, as of the arrival of the
             present canary.
-        backlog_until: until this time, late answers may be due to increased traffic rather than to a build.
+        busy_until: until this time, late answers may be due to increased traffic rather than to a build.
     """
 
     def __init__(self, class_count: int) -> None:
@@ -46,4 +46,4 @@
         # Until the first canary arrives, the current means are also those before a canary.
         self.before_canary = self.baseline
         self.load_before_canary = 0.0
-        self.backlog_until = 0.0
+        self.busy_until = 0.0
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -68,13 +68,13 @@
     def forget(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
         """Drop entries that are older than the given times."""
         for window in (self.accepted, *self.attempts_by_build.values()):
-            window.forget(exposure_before)
+            window.expire(exposure_before)
         self.attempts_by_build = {build: window for build, window in self.attempts_by_build.items() if window}
         while self.finished and self.finished[0].finished_at < rates_before:
             self.finished.popleft()
-        self.arrivals.forget(arrivals_before)
-        self.served.forget(rates_before)
-        self.new_requests.forget(rates_before)
+        self.arrivals.expire(arrivals_before)
+        self.served.expire(rates_before)
+        self.new_requests.expire(rates_before)
 
     def update_rates(self, since_start: float, windows: RateWindows) -> None:
         """Update the rates of new requests.
