--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -47,7 +47,7 @@
 class EndpointGroups:
     """A fixed sequence of endpoints in groups.
 
-    Callers report each ejection and its end to `ejection_changed`.
+    `ejection_changed` must be called after each ejection and after the end of each ejection.
     """
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
