--- a/gatebank/proxy/control_plane_view.py
+++ b/gatebank/proxy/control_plane_view.py
@@ -37,7 +37,7 @@
     def key(self, endpoint: Endpoint) -> EndpointKey:
         """Return the key that identifies the process of a listed endpoint."""
         address = self.registry.addresses[endpoint.index]
-        return EndpointKey(endpoint.index, address, endpoint.build, endpoint.started)
+        return EndpointKey(endpoint.index, address, endpoint.build, endpoint.started_at)
 
     def cap(self, build: int) -> float:
         """Return the share of traffic a build may receive; below 1 for the newest build until release."""
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -8,16 +8,16 @@
 from gatebank.core.llr_sums import Statistic
 from gatebank.core.state import BalancerState
 from gatebank.events import (
-    AcceptedRow,
     BaselineErrors,
     Condition,
+    InheritedAttempt,
     InheritedEndpoint,
+    InheritedRequest,
     InheritedState,
     LatencyEstimate,
     Phase,
     ReleaseStatus,
     ReplyStatus,
-    SentRow,
 )
 from gatebank.peer_messages import InstanceReport, LlrSum
 from gatebank.state_transfer.index_names import IndexNames, Origin
@@ -133,7 +133,7 @@
             listed = endpoint.listed
             name = self.names.endpoints[index]
             if listed.condition is Condition.READY and name is not None:
-                processes[name] = EndpointProcess(name, listed.build, listed.started)
+                processes[name] = EndpointProcess(name, listed.build, listed.started_at)
         window = self.state.settings.release.exposure_window
         merged = merge_items(self.received.items(now), processes, self.origin.name, window, self.half_lives)
         merged.window_known = self.window_known
@@ -156,7 +156,7 @@
                     failure_rate=endpoint.failure_rate,
                     ejected=endpoint.ejected,
                     ejection_time=endpoint.ejection_time,
-                    cold_rate=endpoint.slow_start_rate,
+                    slow_start_rate=endpoint.slow_start_rate,
                 )
                 for name, endpoint in merged.endpoints.items()
                 if name in indices
@@ -171,7 +171,7 @@
             baseline_latency=baseline_latency,
             sent=sent,
             accepted=accepted,
-            window_known=merged.window_known,
+            exposure_window_known=merged.window_known,
         )
 
     def class_indices(self) -> dict[str, int]:
@@ -213,7 +213,9 @@
                 reports.append((item.instance, report))
         return reports
 
-    def window(self, merged: MergedState, now: float) -> tuple[list[SentRow], list[AcceptedRow]]:
+    def window(
+        self, merged: MergedState, now: float
+    ) -> tuple[list[InheritedAttempt], list[InheritedRequest]]:
         """Returns the attempts and requests of earlier incarnations of this instance in the exposure window.
 
         Their ages are converted to seconds before this incarnation's start.
@@ -222,12 +224,12 @@
         window = self.state.settings.release.exposure_window
         since_start = now - self.state.started_at
         sent = [
-            SentRow(item.age - since_start, classes[item.request_class], item.build)
+            InheritedAttempt(item.age - since_start, classes[item.request_class], item.build)
             for item in merged.sent
             if item.request_class in classes and 0 <= item.age - since_start <= window
         ]
         accepted = [
-            AcceptedRow(item.age - since_start, classes[item.request_class])
+            InheritedRequest(item.age - since_start, classes[item.request_class])
             for item in merged.admitted
             if item.request_class in classes and 0 <= item.age - since_start <= window
         ]
