--- a/gatebank/proxy/dispatcher.py
+++ b/gatebank/proxy/dispatcher.py
@@ -167,7 +167,7 @@
         """
         for attempt in request.attempts:
             if attempt:
-                attempt.give_up(Outcome.TIMED_OUT)
+                attempt.abort(Outcome.TIMED_OUT)
         if not request.answered:
             log_kv("unanswered", logging.ERROR, workload=request.client_request.request_class)
             self.fail_request(request)
@@ -246,7 +246,7 @@
         if not attempt.done:
             request.attempts[number] = attempt
             if deadline < request.deadline:
-                attempt.timer = self.loop.call_later(deadline - now, attempt.give_up, Outcome.TIMED_OUT)
+                attempt.timer = self.loop.call_later(deadline - now, attempt.abort, Outcome.TIMED_OUT)
 
     def may_still_start(self, request: RequestInFlight, attempt: int, now: float) -> bool:
         """Ask the balancer whether an attempt that waited for a connection may still be sent."""
@@ -364,7 +364,7 @@
         request = self.requests.get(number)
         attempt = request.attempts[attempt_number] if request else None
         if attempt:
-            attempt.give_up(Outcome.CANCELLED)
+            attempt.abort(Outcome.CANCELLED)
 
     def cast_vote(self, vote: CastVote) -> None:
         """Log a vote and send it to the release service."""
--- a/gatebank/proxy/resp2/session.py
+++ b/gatebank/proxy/resp2/session.py
@@ -1,4 +1,4 @@
-"""RESP2 as connections use it: what a client or an endpoint said, and the bytes to say."""
+"""RESP2 as connections use it: parses received messages and encodes the messages to send."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
     parse_health_reply,
 )
 
-Parts = Sequence[bytes | memoryview]  # of an answer, to be written one behind the other
+Parts = Sequence[bytes | memoryview]  # An encoded reply in pieces that are written one after the other.
 
 
 class ClientSession:
-    """What clients say and are told; it has no state of one connection, so that all share one.
+    """The protocol with clients; all client connections share one session, as it has no state.
 
     Args:
         classes: Request classes by name.
-        tenants: Indices of tenants by name; empty where the settings have none.
+        tenants: Indices of tenants by name; empty where the settings have no tenants.
     """
 
     pong: Parts = (b"+PONG\r\n",)
@@ -31,15 +31,15 @@
         self.classes = classes
         self.tenants = tenants
 
-    def buffer(self, budget: MemoryBudget) -> codec.Inbox:
-        """The buffer of a new connection."""
-        return codec.Inbox(budget)
+    def create_buffer(self, budget: MemoryBudget) -> codec.Resp2Buffer:
+        """Create the buffer of a new connection."""
+        return codec.Resp2Buffer(budget)
 
-    def interpret(self, arguments: Sequence[memoryview]) -> ClientRequest | None:
-        """The request that a command is; None for a PING.
+    def parse_command(self, arguments: Sequence[memoryview]) -> ClientRequest | None:
+        """Parse a command into a request; None for a PING.
 
         Raises:
-            CommandError: It is neither, or does not have PROTOCOL's form.
+            CommandError: The command is unknown or does not have the form that PROTOCOL defines.
         """
         name = command_name(arguments)
         if name == b"PING":
@@ -48,48 +48,48 @@
             return parse_request(arguments, self.classes, self.tenants)
         raise CommandError("unknown command")
 
-    def value(self, value: memoryview) -> Parts:
-        """The answer with an endpoint's value, which is not copied."""
-        return codec.bulk(value)
+    def encode_value(self, value: memoryview) -> Parts:
+        """Encode the answer with an endpoint's value, which is not copied."""
+        return codec.encode_bulk_string(value)
 
-    def rejection(self, retry_after: float | None) -> Parts:
-        """The answer that trying again is harmless, best after so many seconds."""
+    def encode_rejection(self, retry_after: float | None) -> Parts:
+        """Encode the answer that the request may safely be sent again, best after ``retry_after`` seconds."""
         return (b"-BUSY %d\r\n" % (retry_after * 1000) if retry_after else b"-BUSY\r\n",)
 
-    def failure(self, reason: str) -> Parts:
-        """The answer that promises nothing."""
+    def encode_failure(self, reason: str) -> Parts:
+        """Encode the error answer, which does not say whether the request was executed."""
         return (f"-ERR {reason}\r\n".encode(),)
 
-    def how_answered(self, answer: Parts) -> str:
-        """How a request ended, by its answer; recordings use these words."""
-        first = answer[0]
-        if first[:1] == b"$":
+    def classify_answer(self, answer: Parts) -> str:
+        """Return how a request ended according to its answer, in the words that recordings use."""
+        first_part = answer[0]
+        if first_part[:1] == b"$":
             return "satisfied"
-        return "rejected" if first[:5] == b"-BUSY" else "broken off"
+        return "rejected" if first_part[:5] == b"-BUSY" else "broken off"
 
 
 class EndpointSession:
-    """What endpoints are asked and answer; it has no state of one connection, so that all share one.
+    """The protocol with endpoints; all connections to endpoints share one session, as it has no state.
 
     Args:
-        report_fields: Of a load report, by the settings' names.
+        report_fields: Fields of a load report by the settings' names.
     """
 
-    health_check = codec.command([b"PING"])
-    max_value = codec.MAX_VALUE  # bytes that PROTOCOL allows an answer
+    health_check = codec.encode_command([b"PING"])
+    max_value = codec.MAX_VALUE_BYTES  # Maximum size of a value that PROTOCOL allows.
 
     def __init__(self, report_fields: Sequence[str]) -> None:
         self.report_fields = [REPORT_FIELD_NAMES.get(name, name) for name in report_fields]
 
-    def buffer(self, budget: MemoryBudget, max_value: int) -> codec.Inbox:
-        """The buffer of a new connection, for values of so many bytes at most."""
-        return codec.Inbox(budget, max_value)
+    def create_buffer(self, budget: MemoryBudget, max_value: int) -> codec.Resp2Buffer:
+        """Create the buffer of a new connection, for values of at most ``max_value`` bytes."""
+        return codec.Resp2Buffer(budget, max_value)
 
-    def interpret(self, reply: codec.Reply, is_health_check: bool) -> EndpointReply:
-        """What a reply to an attempt or to a health check means.
+    def parse_reply(self, reply: codec.Reply, is_health_check: bool) -> EndpointReply:
+        """Parse the reply to an attempt or to a health check.
 
         Raises:
-            ProtocolError: No reply to an attempt has this form.
+            ProtocolError: The reply does not have the form of a reply to an attempt.
         """
         if is_health_check:
             return parse_health_reply(reply)
