--- a/gatebank/fakes/__init__.py
+++ b/gatebank/fakes/__init__.py
@@ -1,5 +1,5 @@
-"""Fakes of what an instance talks to: endpoints, discovery, the release service and clients.
+"""Fakes of the services and clients of an instance: endpoints, discovery, the release service and clients.
 
-They speak the published protocols, do what a script tells them, count what reaches them, and listen on
-loopback only. Examples, tests and benchmarks use them; the service never does.
+The fakes speak the published protocols, behave as a test or script requests, count the commands that reach
+them, and listen on loopback only. Examples, tests and benchmarks use the fakes; the proxy itself does not.
 """
--- a/gatebank/fakes/command_counts.py
+++ b/gatebank/fakes/command_counts.py
@@ -1,4 +1,4 @@
-"""What reached the fake endpoints, and what they executed, by request id, idempotency key and address."""
+"""Counts of the commands that fake endpoints received and executed, by id, key, body, class and address."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def command_fields(arguments: list[bytes]) -> dict[bytes, bytes]:
-    """Return the named fields of a command.
+    """Return the named fields in a command's fourth argument; empty for a command without it.
 
     >>> command_fields([b"Q.ASK", b"k", b"i", b"c=read,d=5"])
     {b'c': b'read', b'd': b'5'}
@@ -20,13 +20,16 @@
 
 @dataclass
 class CommandCounts:
-    """Counts of all endpoints of a world; grows with what is sent to it, until `clear`.
+    """Counts of the commands at all endpoints of a world since the last `clear`.
 
     Attributes:
-        received: Commands, whatever became of them.
+        received: Commands received, whether or not they were executed.
         by_address: Commands received, by the endpoint's address.
         received_by_id: Commands received, by request id.
-        executed_by_id: Commands executed, by request id; the others below by what their names say.
+        executed_by_id: Commands executed, by request id.
+        executed_by_idempotency_key: Commands executed, by idempotency key.
+        executed_by_body: Commands executed, by body.
+        executed_by_class: Commands executed, by request class.
     """
 
     received: int = 0
@@ -38,7 +41,7 @@
     executed_by_class: Counter[bytes] = field(default_factory=Counter)
 
     def count_received(self, address: str, arguments: list[bytes]) -> None:
-        """Count a command that reached the endpoint at an address."""
+        """Count a command that the endpoint at an address received."""
         self.received += 1
         self.by_address[address] += 1
         if len(arguments) > 2:
@@ -61,7 +64,7 @@
         return [name for table in tables for name, count in table.items() if count > 1]
 
     def clear(self) -> None:
-        """Count from nothing again."""
+        """Reset all counts to zero."""
         self.received = 0
         for table in (
             self.by_address,
