--- a/gatebank/cli/capture/check.py
+++ b/gatebank/cli/capture/check.py
@@ -13,7 +13,7 @@
 from gatebank.capture.terminal import printable
 from gatebank.capture.timestamps import utc_time
 from gatebank.cli.capture.source import CaptureSource
-from gatebank.cli.terminal import INCOMPLETE_STATUS, clean_end
+from gatebank.cli.terminal import INCOMPLETE_STATUS, end_cleanly
 
 Counts = Mapping[str, int | str]  # by name; why the reading ended early, if it did, is a text
 
@@ -25,7 +25,7 @@
         CommandLineError: A file cannot be read, or the only file is not a capture.
         typer.Exit: Status 1 if anything could not be read.
     """
-    with clean_end(lambda: f"{source.reading.packets.packet_count} packets"):
+    with end_cleanly(lambda: f"{source.reading.packets.packet_count} packets"):
         counts = count(source)
         trouble = source.reading.trouble()
         if as_json:
--- a/gatebank/cli/capture/commands.py
+++ b/gatebank/cli/capture/commands.py
@@ -56,7 +56,7 @@
     """Print the exchanges of a capture: one line for each request and its reply."""
     from gatebank.cli.capture import show, source
 
-    selection = source.selection(filters, times.begin, times.end)
+    selection = source.build_filter(filters, times.begin, times.end)
     show.run(source.CaptureSource(files, servers, limits), selection, as_json, parquet)
 
 
@@ -87,7 +87,7 @@
     """Write the packets of the chosen exchanges to a new capture file."""
     from gatebank.cli.capture import cut, source
 
-    selection = source.selection(filters, times.begin, times.end)
+    selection = source.build_filter(filters, times.begin, times.end)
     cut.run(source.CaptureSource([file], servers), selection, out, whole_streams)
 
 
@@ -102,7 +102,7 @@
     """Match the exchanges of two captures: results that differ, exchanges in one only, and latencies."""
     from gatebank.cli.capture import compare, source
 
-    compare.run(source.CaptureSource([a]), source.CaptureSource([b]), source.selection(filters), as_json)
+    compare.run(source.CaptureSource([a]), source.CaptureSource([b]), source.build_filter(filters), as_json)
 
 
 @command(app)
@@ -126,7 +126,7 @@
     """
     from gatebank.cli.capture import replay, source
 
-    selection = source.selection(filters, begin, until, end_option="--until")
+    selection = source.build_filter(filters, begin, until, end_option="--until")
     replay.run(source.CaptureSource([file], servers), selection, options, as_json)
 
 
--- a/gatebank/cli/capture/compare.py
+++ b/gatebank/cli/capture/compare.py
@@ -11,7 +11,7 @@
 from gatebank.capture.filters import ExchangeFilter
 from gatebank.capture.terminal import printable
 from gatebank.cli.capture.source import CaptureSource
-from gatebank.cli.terminal import clean_end, warn_each
+from gatebank.cli.terminal import end_cleanly, warn_all
 
 SHOWN_EXAMPLES = 20  # of exchanges that differ, for people; --json has all that were kept
 Quantiles = Mapping[str, float]
@@ -24,7 +24,7 @@
         CommandLineError: A file cannot be read.
     """
     comparison = Comparison()
-    with clean_end(lambda: f"{comparison.matched} matched"):
+    with end_cleanly(lambda: f"{comparison.matched} matched"):
         for source, add in ((a, comparison.add_a), (b, comparison.add_b)):
             for exchange in source.exchanges():
                 if selection(exchange) and exchange.command_is_complete:
@@ -33,7 +33,7 @@
             print_json(comparison)
         else:
             print_text(comparison)
-    warn_each(a.incomplete + b.incomplete)
+    warn_all(a.incomplete + b.incomplete)
 
 
 def count(comparison: Comparison) -> dict[str, int]:
--- a/gatebank/cli/capture/cut.py
+++ b/gatebank/cli/capture/cut.py
@@ -15,7 +15,7 @@
 from gatebank.capture.packet import Packet
 from gatebank.capture.segments import FIN, LINK_RAW, RST, SYN
 from gatebank.cli.capture.source import CaptureSource
-from gatebank.cli.terminal import CommandLineError, clean_end, warn_each
+from gatebank.cli.terminal import CommandLineError, end_cleanly, warn_all
 
 MAX_EXCHANGES = 1_000_000  # that a cut may choose: each takes some 200 bytes of memory
 INTERFACE_NAMES = {"customer": "customers", "node": "nodes"}  # by the side that packets were recorded at
@@ -57,11 +57,11 @@
     if out.exists() and out.samefile(source.files[0]):
         raise CommandLineError("a file can't be cut into itself", out)
     chosen = ChosenPackets()
-    with clean_end(lambda: f"{chosen.exchanges} exchanges"):
+    with end_cleanly(lambda: f"{chosen.exchanges} exchanges"):
         find_packets(source, selection, chosen)
         written = copy_packets(source, out, chosen, whole_streams)
     print(f"{out}: {chosen.exchanges} exchanges, {written} packets of {len(chosen.spans)} connections")
-    warn_each(source.incomplete)
+    warn_all(source.incomplete)
 
 
 def find_packets(source: CaptureSource, selection: ExchangeFilter, chosen: ChosenPackets) -> None:
@@ -104,7 +104,7 @@
     try:
         with partial.open("wb") as file:
             writer = PacketCopy(file)
-            for packet in chosen_packets(source, chosen, whole_streams):
+            for packet in read_chosen_packets(source, chosen, whole_streams):
                 writer.write(packet)
             writer.finish()
         partial.replace(out)
@@ -115,10 +115,12 @@
     return writer.written
 
 
-def chosen_packets(source: CaptureSource, chosen: ChosenPackets, whole_streams: bool) -> Iterator[Packet]:
+def read_chosen_packets(
+    source: CaptureSource, chosen: ChosenPackets, whole_streams: bool
+) -> Iterator[Packet]:
     """Yield the chosen packets of a second reading, which numbers connections as the first one did."""
     reading = source.new_reading()
-    for _, piece in source.pieces(progress=True):
+    for _, piece in source.read_chunks(progress=True):
         for packet in reading.packets.feed(piece or b""):
             connection = reading.add_packet(packet)
             reading.exchanges.reported.clear()
--- a/gatebank/cli/capture/options.py
+++ b/gatebank/cli/capture/options.py
@@ -61,10 +61,10 @@
 class ServerOptions:
     """Which servers are what, where a capture does not say it."""
 
-    node: Annotated[
+    endpoints: Annotated[
         list[str] | None, typer.Option("--node", help="The server at this address:port is an endpoint.")
     ] = None
-    marshal: Annotated[
+    instances: Annotated[
         list[str] | None, typer.Option("--marshal", help="The server at this address:port is an instance.")
     ] = None
 
@@ -73,16 +73,16 @@
 class ReadingLimitOptions:
     """How much a reading may hold in memory."""
 
-    most_streams: Annotated[
+    max_connections: Annotated[
         int, typer.Option("--most-streams", min=1, help="Connections followed at once.")
     ] = 10_000
-    most_gap: Annotated[
+    max_gap_bytes: Annotated[
         int, typer.Option("--most-gap", min=1024, help="Bytes kept while a segment before them is missing.")
     ] = 1 << 20
-    idle: Annotated[
+    idle_timeout: Annotated[
         float, typer.Option("--idle", min=1, help="Seconds after which a silent connection is given up.")
     ] = 300.0
-    most_message: Annotated[
+    max_message_bytes: Annotated[
         int, typer.Option("--most-message", min=1024, help="Bytes of one command or reply.")
     ] = 8 << 20
 
--- a/gatebank/cli/capture/replay.py
+++ b/gatebank/cli/capture/replay.py
@@ -24,7 +24,7 @@
     USAGE_STATUS,
     CommandLineError,
     warn,
-    warn_each,
+    warn_all,
 )
 from gatebank.events import RetrySafety
 from gatebank.operator_config import operators_file
@@ -43,7 +43,7 @@
 
 MIN_PACE = 0.001
 MAX_PACE = 1e6
-LINE_MODES = ("recorded", "pooled")
+CONNECTION_MODES = ("recorded", "pooled")
 MAX_LIVE_SERVERS = 1_000_000  # remembered of a capture, some 100 bytes each
 CLIENT_SIDE = "customer"  # as captures name the side at which requests come in
 
@@ -88,8 +88,8 @@
     log.configure_logging("warning")
     source.require_files()
     check_options(options)
-    targets = permitted_targets(options)
-    target = choose_target(options)
+    targets = read_permitted_targets(options)
+    target = resolve_target(options)
     survey = survey_capture(source, selection)
     ledger = Ledger(options.ledger) if options.ledger else None
     guard = open_guard(targets, target, survey, ledger)
@@ -125,13 +125,13 @@
         raise CommandLineError("--orders is needed: the operators' file names what may be sent to")
     if not MIN_PACE <= options.pace <= MAX_PACE:
         raise CommandLineError(f"{options.pace} is not between 0.001 and 1000000", "--pace")
-    if options.lines not in LINE_MODES:
+    if options.lines not in CONNECTION_MODES:
         raise CommandLineError(
-            f"{options.lines!r} is not known; allowed are {', '.join(LINE_MODES)}", "--lines"
+            f"{options.lines!r} is not known; allowed are {', '.join(CONNECTION_MODES)}", "--lines"
         )
 
 
-def permitted_targets(options: ReplayOptions) -> list[Target]:
+def read_permitted_targets(options: ReplayOptions) -> list[Target]:
     """Return the targets that the operators' file names.
 
     Raises:
@@ -145,7 +145,7 @@
         raise typer.Exit(USAGE_STATUS) from None
 
 
-def choose_target(options: ReplayOptions) -> ReplayTarget:
+def resolve_target(options: ReplayOptions) -> ReplayTarget:
     """Return where the options say that requests go.
 
     Raises:
@@ -181,7 +181,7 @@
     except KeyboardInterrupt:
         warn("interrupted before anything was sent")
         raise typer.Exit(INTERRUPTED_STATUS) from None
-    warn_each(source.incomplete)
+    warn_all(source.incomplete)
     return survey
 
 
--- a/gatebank/cli/capture/replay_session.py
+++ b/gatebank/cli/capture/replay_session.py
@@ -82,8 +82,8 @@
         self.order = AskingOrder(int(REORDER_HORIZON * 1e9), MAX_REORDERED_BYTES)
         self.stopping = False
         self.error = ""
-        self.other_side = 0
-        self.without_request = 0
+        self.other_side_count = 0
+        self.without_request_count = 0
 
     def run(self) -> None:
         """Read all; whatever error ends it is reported with the result."""
@@ -92,29 +92,29 @@
         except Exception as error:  # the player waits for the end of the queue, whatever happens here
             self.error = repr(error)
         finally:
-            self.put(None)
+            self.enqueue(None)
 
     def read(self) -> None:
         """Queue the chosen exchanges until the end of the capture, or until it is told to stop."""
         for exchange in self.source.exchanges(progress=False):
             if self.selection(exchange):
-                self.take(exchange)
+                self.accept(exchange)
                 if self.stopping:
                     return
         for ready in self.order.end():
-            self.put(ready)
+            self.enqueue(ready)
 
-    def take(self, exchange: Exchange) -> None:
+    def accept(self, exchange: Exchange) -> None:
         """Count an exchange that is left out, or queue what its time makes due."""
         if self.side and exchange.side != self.side:
-            self.other_side += 1
+            self.other_side_count += 1
         elif exchange.asked_at is None:
-            self.without_request += 1
+            self.without_request_count += 1
         else:
             for ready in self.order.add(exchange, self.source.reading.last_at):
-                self.put(ready)
+                self.enqueue(ready)
 
-    def put(self, exchange: Exchange | None) -> None:
+    def enqueue(self, exchange: Exchange | None) -> None:
         """Wait for room in the queue, and add to it unless nothing more is wanted."""
         while not self.stopping:
             try:
@@ -139,7 +139,7 @@
             run_key=os.urandom(RUN_ID_BYTES),
         ),
     )
-    await connect(player, plan)
+    await open_transport(player, plan)
     for number in (signal.SIGINT, signal.SIGTERM):
         player.loop.add_signal_handler(number, player.stop, "interrupted")
     sys.setswitchinterval(READER_SWITCH_INTERVAL)
@@ -153,10 +153,10 @@
             await asyncio.sleep(0)  # connections that were closed get their turn
             if plan.ledger:
                 await plan.ledger.finish()
-    return report_of(player, reader, plan.ledger)
+    return build_report(player, reader, plan.ledger)
 
 
-async def connect(player: Player, plan: ReplayPlan) -> None:
+async def open_transport(player: Player, plan: ReplayPlan) -> None:
     """Give the player its way to the target: an instance in this process, or connections to one elsewhere."""
     options = plan.options
     if plan.configuration is None:
@@ -174,12 +174,12 @@
         player.stop("discovery tells of no node that may be sent to")
 
 
-def report_of(player: Player, reader: ReaderThread, ledger: Ledger | None) -> dict[str, Any]:
+def build_report(player: Player, reader: ReaderThread, ledger: Ledger | None) -> dict[str, Any]:
     """Return what became of all requests, by the names that ``--json`` prints."""
     report = player.report.summary()
     report["stopped"] = player.stopped
-    report["left_out_other_side"] = reader.other_side
-    report["not_whole"] = reader.without_request
+    report["left_out_other_side"] = reader.other_side_count
+    report["not_whole"] = reader.without_request_count
     report["out_of_order"] = reader.order.late_count
     report["reader_trouble"] = reader.error
     report["ledger_trouble"] = str(ledger.broken or "") if ledger else ""
--- a/gatebank/cli/capture/show.py
+++ b/gatebank/cli/capture/show.py
@@ -14,7 +14,7 @@
 from gatebank.capture.filters import ExchangeFilter
 from gatebank.capture.records import Exchange
 from gatebank.cli.capture.source import CaptureSource
-from gatebank.cli.terminal import INCOMPLETE_STATUS, CommandLineError, clean_end, warn_each
+from gatebank.cli.terminal import INCOMPLETE_STATUS, CommandLineError, end_cleanly, warn_all
 
 PARQUET_BATCH_ROWS = 10_000  # rows held in memory before they are written
 
@@ -27,13 +27,13 @@
         typer.Exit: Status 1 if a capture could not be read to its end.
     """
     rows = CountedExchanges(source, selection)
-    with clean_end(lambda: f"{rows.count} exchanges"):
+    with end_cleanly(lambda: f"{rows.count} exchanges"):
         if parquet:
             write_parquet(rows, parquet)
             print(f"{parquet}: {rows.count} exchanges")
         else:
             print_rows(rows, as_json)
-    warn_each(source.incomplete)
+    warn_all(source.incomplete)
     if source.incomplete:
         raise typer.Exit(INCOMPLETE_STATUS)
 
@@ -51,7 +51,7 @@
         self.selection = selection
         self.count = 0
 
-    def read(self, progress: bool) -> Iterator[Exchange]:
+    def iterate(self, progress: bool) -> Iterator[Exchange]:
         """Yield the chosen exchanges; ``progress`` shows on a terminal how much has been read."""
         for exchange in self.source.exchanges(progress):
             if self.selection(exchange):
@@ -66,7 +66,7 @@
     format_row: Callable[[Exchange], bytes] = json_row if as_json else table_row
     output = sys.stdout.buffer
     # A progress bar would be drawn over rows that go to the same terminal.
-    for exchange in rows.read(progress=not sys.stdout.isatty()):
+    for exchange in rows.iterate(progress=not sys.stdout.isatty()):
         output.write(format_row(exchange) + b"\n")
     output.flush()
 
@@ -98,7 +98,7 @@
     partial = path.with_name(path.name + ".part")
     try:
         with pyarrow.parquet.ParquetWriter(partial, schema, compression="zstd") as writer:
-            for batch in batches(rows.read(progress=True)):
+            for batch in batches(rows.iterate(progress=True)):
                 writer.write_table(pyarrow.Table.from_pylist(batch, schema))
         partial.replace(path)
     except OSError as error:
--- a/gatebank/cli/capture/source.py
+++ b/gatebank/cli/capture/source.py
@@ -24,7 +24,7 @@
 STANDARD_INPUT = "-"
 
 
-def selection(
+def build_filter(
     options: CommonFilterOptions,
     begin: str | None = None,
     end: str | None = None,
@@ -50,17 +50,17 @@
     return ExchangeFilter(
         begin=parse_time_option("--from", begin),
         end=parse_time_option(end_option, end),
-        request_class=chosen(options.workload),
-        tenant=chosen(options.customer),
-        key=chosen(rest.key),
-        id=chosen(rest.id_),
-        ended=chosen(rest.ended),
-        side=chosen(options.side),
+        request_class=optional_frozenset(options.workload),
+        tenant=optional_frozenset(options.customer),
+        key=optional_frozenset(rest.key),
+        id=optional_frozenset(rest.id_),
+        ended=optional_frozenset(rest.ended),
+        side=optional_frozenset(options.side),
         port=frozenset(rest.port) if rest.port else None,
     )
 
 
-def chosen(values: list[str] | None) -> frozenset[str] | None:
+def optional_frozenset(values: list[str] | None) -> frozenset[str] | None:
     """Return the values as a filter wants them: None if all are chosen."""
     return frozenset(values) if values else None
 
@@ -109,14 +109,14 @@
         """
         self.files = files
         self.servers = servers or ServerOptions()
-        self.limits = ReadingLimits() if limits is None else reading_bounds(limits)
+        self.limits = ReadingLimits() if limits is None else reading_limits(limits)
         self.reading = self.new_reading()
         self.incomplete: list[str] = []
 
     def new_reading(self) -> CaptureReader:
         """Return a reading that has seen nothing yet."""
-        endpoints = self.servers.node or []
-        instances = self.servers.marshal or []
+        endpoints = self.servers.endpoints or []
+        instances = self.servers.instances or []
         return CaptureReader(self.limits, endpoints=endpoints, instances=instances)
 
     def require_files(self) -> None:
@@ -125,7 +125,7 @@
             if str(path) == STANDARD_INPUT or not path.is_file():
                 raise CommandLineError("a file is needed here, as it is read more than once", path)
 
-    def pieces(self, progress: bool) -> Iterator[tuple[Path, bytes | None]]:
+    def read_chunks(self, progress: bool) -> Iterator[tuple[Path, bytes | None]]:
         """Yield the bytes of each file in pieces, and None at its end.
 
         Args:
@@ -136,7 +136,7 @@
         """
         with byte_progress(self.files, progress) as advance:
             for path in self.files:
-                for piece in file_pieces(path):
+                for piece in read_file_chunks(path):
                     yield path, piece
                     advance(len(piece))
                 yield path, None
@@ -153,7 +153,7 @@
         reading = self.new_reading()
         self.reading = reading
         self.incomplete = []
-        for path, piece in self.pieces(progress):
+        for path, piece in self.read_chunks(progress):
             if piece is None:
                 self.end_file(path)
             else:
@@ -172,17 +172,17 @@
             self.reading.next_file()
 
 
-def reading_bounds(limits: ReadingLimitOptions) -> ReadingLimits:
+def reading_limits(limits: ReadingLimitOptions) -> ReadingLimits:
     """Return the bounds of a reading that the options ask for."""
     return ReadingLimits(
-        max_connections=limits.most_streams,
-        max_gap_bytes=limits.most_gap,
-        idle_timeout=limits.idle,
-        max_message_bytes=limits.most_message,
+        max_connections=limits.max_connections,
+        max_gap_bytes=limits.max_gap_bytes,
+        idle_timeout=limits.idle_timeout,
+        max_message_bytes=limits.max_message_bytes,
     )
 
 
-def file_pieces(path: Path) -> Iterator[bytes]:
+def read_file_chunks(path: Path) -> Iterator[bytes]:
     """Yield the bytes of a file or of standard input in pieces.
 
     Raises:
--- a/gatebank/cli/fleet.py
+++ b/gatebank/cli/fleet.py
@@ -51,7 +51,7 @@
 
 def print_json(found: FleetCounts, every: int) -> None:
     """Print one JSON object for each row."""
-    rows = found.rows(every)
+    rows = found.group_by_time(every)
     names = shown_names(rows)
     for second, row in rows.items():
         typer.echo(json.dumps({"second": second, **{name: row[name] for name in names}}))
@@ -59,7 +59,7 @@
 
 def print_table(found: FleetCounts, every: int) -> None:
     """Print a table with a line for each counter and a column for each row of time."""
-    rows = found.rows(every)
+    rows = found.group_by_time(every)
     names = shown_names(rows)
     typer.echo(f"{found.instances} marshals, {found.starts} starts, {found.bad_lines} lines spoilt")
     width = max(map(len, names), default=0)
--- a/gatebank/cli/fleet_logs.py
+++ b/gatebank/cli/fleet_logs.py
@@ -68,9 +68,11 @@
                 self.starts += 1
                 previous = CounterReading(float(keys["at"]), Counter())
             elif keys["event"] == "standing":
-                previous = self.add_standing(keys, previous)
+                previous = self.add_counter_line(keys, previous)
 
-    def add_standing(self, keys: dict[str, str], previous: CounterReading | None) -> CounterReading | None:
+    def add_counter_line(
+        self, keys: dict[str, str], previous: CounterReading | None
+    ) -> CounterReading | None:
         """Add what was counted since the previous reading, and return the reading that the next one follows.
 
         Args:
@@ -89,10 +91,10 @@
             self.bad_lines += 1
             return previous
         for name, value in counters.items():
-            self.spread(name, value - previous.counters[name], previous.time, time)
+            self.add_evenly(name, value - previous.counters[name], previous.time, time)
         return CounterReading(time, previous.counters | counters)
 
-    def spread(self, name: str, count: int, begin: float, end: float) -> None:
+    def add_evenly(self, name: str, count: int, begin: float, end: float) -> None:
         """Add a count evenly to the seconds from ``begin`` to ``end``, in whole numbers that add up to it."""
         first = int(begin)
         last = max(first, int(end - 1e-9))
@@ -102,7 +104,7 @@
             if share:
                 self.seconds.setdefault(first + number, Counter())[name] += share
 
-    def rows(self, seconds: int) -> dict[int, Counter[str]]:
+    def group_by_time(self, seconds: int) -> dict[int, Counter[str]]:
         """Return the counts of so many seconds each, by the seconds since the first that has any."""
         begin = min(self.seconds, default=0)
         rows: dict[int, Counter[str]] = {}
--- a/gatebank/cli/keys.py
+++ b/gatebank/cli/keys.py
@@ -66,7 +66,7 @@
         refuse(f"{folder / AUTHORITY_KEY}: is there already; a new authority wants a new folder")
     made = authority.make_authority(title, days=days)
     write_file(folder / AUTHORITY_KEY, made.key, PRIVATE_MODE)
-    write_file(folder / key_folder.AUTHORITY, made.certificate)
+    write_file(folder / key_folder.AUTHORITY_FILE, made.certificate)
     print(f"{folder}: authority {title}, for {days:g} days")
 
 
@@ -84,17 +84,17 @@
 
     try:
         signer = authorities.KeyPair(
-            (authority / AUTHORITY_KEY).read_bytes(), (authority / key_folder.AUTHORITY).read_bytes()
+            (authority / AUTHORITY_KEY).read_bytes(), (authority / key_folder.AUTHORITY_FILE).read_bytes()
         )
-        made = authorities.make_instance(signer, name, days=days)
+        made = authorities.issue_instance_keys(signer, name, days=days)
         trusted = signer.certificate + b"".join(path.read_bytes() for path in trust or ())
     except OSError as error:
         refuse(f"{error.filename}: {error.strerror}")
     except (ValueError, TypeError) as error:
         refuse(f"{authority}: {error}")
-    write_file(folder / key_folder.AUTHORITY, trusted)
-    write_file(folder / key_folder.KEY, made.key, PRIVATE_MODE)
-    write_file(folder / key_folder.CERTIFICATE, made.certificate)
+    write_file(folder / key_folder.AUTHORITY_FILE, trusted)
+    write_file(folder / key_folder.KEY_FILE, made.key, PRIVATE_MODE)
+    write_file(folder / key_folder.CERTIFICATE_FILE, made.certificate)
     print(f"{folder}: {name}, for {days:g} days")
 
 
@@ -104,14 +104,16 @@
     from gatebank.keys import folder as key_folder
     from gatebank.keys.authority import read_certificates
 
-    paths = [file / key_folder.AUTHORITY, file / key_folder.CERTIFICATE] if file.is_dir() else [file]
+    paths = (
+        [file / key_folder.AUTHORITY_FILE, file / key_folder.CERTIFICATE_FILE] if file.is_dir() else [file]
+    )
     try:
         rows = [(path, certificate) for path in paths for certificate in read_certificates(path.read_bytes())]
     except (OSError, ValueError) as error:
         refuse(f"{file}: {getattr(error, 'strerror', None) or error}")
     for path, certificate in rows:
         kind = "authority" if certificate.is_authority else "instance"
-        validity = f"{certificate.begin:%Y-%m-%d %H:%M} to {certificate.end:%Y-%m-%d %H:%M}"
+        validity = f"{certificate.valid_from:%Y-%m-%d %H:%M} to {certificate.valid_until:%Y-%m-%d %H:%M}"
         fingerprint = certificate.fingerprint[:SHOWN_FINGERPRINT]
         print(f"{path.name}: {kind} {certificate.name}, of {certificate.issuer}, {validity}, {fingerprint}")
 
@@ -125,7 +127,7 @@
         keys = key_folder.read_keys(folder)
     except key_folder.KeyFolderError as error:
         refuse(error)
-    print(f"{folder}: {keys.name}, until {keys.instance.end:%Y-%m-%d %H:%M}")
+    print(f"{folder}: {keys.name}, until {keys.instance.valid_until:%Y-%m-%d %H:%M}")
     warnings = keys.expiry_warnings(datetime.now(UTC))
     for warning in warnings:
         print(warning)
--- a/gatebank/cli/learn.py
+++ b/gatebank/cli/learn.py
@@ -58,7 +58,7 @@
     raise typer.Exit(2)
 
 
-def load(source: str, keys: Path | None, configuration: Path | None) -> list[StateItem]:
+def load_or_refuse(source: str, keys: Path | None, configuration: Path | None) -> list[StateItem]:
     """Returns the items of a source, the most valuable first, or ends the command."""
     try:
         from gatebank.cli.state_sources import StateSourceError, load_items
@@ -152,7 +152,7 @@
     configuration: ConfigurationOption = None,
 ) -> None:
     """What is known, how old it is, from whom, and what it would weigh now."""
-    items = load(source, keys, configuration)
+    items = load_or_refuse(source, keys, configuration)
     if not as_json:
         print_items(items)
         return
@@ -185,8 +185,8 @@
     configuration: ConfigurationOption = None,
 ) -> None:
     """What one knows and the other does not, and where they differ; ages apart do not count."""
-    first_items = fields_by_identity(load(first_source, keys, configuration))
-    second_items = fields_by_identity(load(second_source, keys, configuration))
+    first_items = fields_by_identity(load_or_refuse(first_source, keys, configuration))
+    second_items = fields_by_identity(load_or_refuse(second_source, keys, configuration))
     for key in sorted(first_items.keys() | second_items.keys()):
         first = first_items.get(key)
         second = second_items.get(key)
--- a/gatebank/cli/options.py
+++ b/gatebank/cli/options.py
@@ -42,12 +42,12 @@
     """
 
     def decorate(function: Callable[..., None]) -> Callable[..., None]:
-        return app.command(name)(with_single_options(function))
+        return app.command(name)(flatten_option_groups(function))
 
     return decorate
 
 
-def with_single_options(function: Callable[..., None]) -> Callable[..., None]:
+def flatten_option_groups(function: Callable[..., None]) -> Callable[..., None]:
     """Return a function for typer, with one keyword parameter for each option of the groups.
 
     Called, it gathers the groups again, calls ``function``, and ends the process on a CommandLineError.
@@ -61,7 +61,7 @@
         if parameter.name in groups:
             parameters += group_parameters(groups[parameter.name])
         else:
-            parameters.append(keyword(parameter.name, hints[parameter.name], parameter.default))
+            parameters.append(keyword_parameter(parameter.name, hints[parameter.name], parameter.default))
 
     def run(**values: object) -> None:
         for name, group in groups.items():
@@ -81,9 +81,9 @@
 def group_parameters(group: type[Any]) -> list[inspect.Parameter]:
     """Return one keyword parameter for each field of a group of options."""
     hints = get_type_hints(group, include_extras=True)
-    return [keyword(field.name, hints[field.name], field.default) for field in fields(group)]
+    return [keyword_parameter(field.name, hints[field.name], field.default) for field in fields(group)]
 
 
-def keyword(name: str, annotation: object, default: object) -> inspect.Parameter:
+def keyword_parameter(name: str, annotation: object, default: object) -> inspect.Parameter:
     """Return a keyword-only parameter: unlike others, these may stand in any order."""
     return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, annotation=annotation, default=default)
--- a/gatebank/cli/state_sources.py
+++ b/gatebank/cli/state_sources.py
@@ -30,7 +30,7 @@
 # Seconds until an instance must have answered, with all the times that a busy one is asked again.
 ANSWER_TIMEOUT = 20.0
 # Seconds: snapshots of any age are shown.
-ANY_AGE = 1e9
+UNLIMITED_AGE = 1e9
 
 
 class StateSourceError(GatebankError):
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class SourceReply:
     """What an instance sent: all its items, or a refusal with seconds after which to ask again."""
 
     items: list[StateItem]
@@ -66,15 +66,15 @@
     """
     path = Path(source)
     if path.exists():
-        return by_priority(load_snapshot(path))
+        return by_priority(read_snapshot(path))
     try:
         where = parse_address(source, "source")
     except ConfigurationError as error:
         raise StateSourceError(f"{error}, and no such file") from error
-    return by_priority(asyncio.run(ask_instance(source, where, keys_folder, configuration)))
+    return by_priority(asyncio.run(request_items(source, where, keys_folder, configuration)))
 
 
-def load_snapshot(path: Path) -> list[StateItem]:
+def read_snapshot(path: Path) -> list[StateItem]:
     """Returns the items of a snapshot file, or of the newest one in a folder that can be read."""
     paths = [path]
     if path.is_dir():
@@ -86,7 +86,7 @@
             data = each.read_bytes()
             header = snapshot.decode_header(data)
             now = max(time.time(), header.at)
-            loaded.append(snapshot.decode_snapshot(data, header.deployment, now, ANY_AGE))
+            loaded.append(snapshot.decode_snapshot(data, header.deployment, now, UNLIMITED_AGE))
         except (OSError, snapshot.SnapshotError) as error:
             reason = f"{each.name}: {getattr(error, 'strerror', None) or error}"
     if not loaded:
@@ -94,7 +94,7 @@
     return max(loaded, key=lambda found: found.header.at).items
 
 
-async def ask_instance(
+async def request_items(
     source: str, where: Address, keys_folder: Path | None, configuration: Path | None
 ) -> list[StateItem]:
     """Returns what an instance knows; asks as a receiver does, and its listener decides whether it may."""
@@ -107,7 +107,7 @@
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT):
             # A busy source serves its clients first, and says when to come back.
-            while (reply := await ask_once(where, context, hello, source)).retry_after is not None:
+            while (reply := await request_items_once(where, context, hello, source)).retry_after is not None:
                 late_reason = "busy"
                 await asyncio.sleep(reply.retry_after)
     except TransferProtocolError as error:
@@ -126,7 +126,9 @@
     return reply.items
 
 
-async def ask_once(where: Address, context: ssl.SSLContext | None, hello: Hello, source: str) -> Reply:
+async def request_items_once(
+    where: Address, context: ssl.SSLContext | None, hello: Hello, source: str
+) -> SourceReply:
     """Makes one connection to an instance and returns its reply; raises as `Connection` and `feed` do."""
     tls = TlsStream(context, is_server=False) if context else None
     conversation = Conversation(hello)
@@ -141,10 +143,10 @@
                 raise StateSourceError(f"{source}: it ended the connection; {hint}")
             for message in conversation.feed(data):
                 if isinstance(message, Refusal):
-                    return Reply(items, message.retry_after)
+                    return SourceReply(items, message.retry_after)
                 if isinstance(message, list):
                     items += message
-    return Reply(items)
+    return SourceReply(items)
 
 
 def deployment_of(configuration: Path | None) -> str:
--- a/gatebank/cli/terminal.py
+++ b/gatebank/cli/terminal.py
@@ -45,7 +45,7 @@
     typer.echo(f"gatebank: {printable(message)}", err=True)
 
 
-def warn_each(messages: Iterable[object]) -> None:
+def warn_all(messages: Iterable[object]) -> None:
     """Write one line on standard error for each message."""
     for message in messages:
         warn(message)
@@ -81,7 +81,7 @@
 
 
 @contextlib.contextmanager
-def clean_end(done: Callable[[], str]) -> Iterator[None]:
+def end_cleanly(done: Callable[[], str]) -> Iterator[None]:
     """End the command without a traceback if it is interrupted or its output is no longer read.
 
     Args:
--- a/gatebank/keys/authority.py
+++ b/gatebank/keys/authority.py
@@ -71,8 +71,8 @@
 
     name: str
     issuer: str
-    begin: datetime
-    end: datetime
+    valid_from: datetime
+    valid_until: datetime
     fingerprint: str
     is_authority: bool
 
@@ -92,10 +92,10 @@
     builder = builder.add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
     builder = builder.add_extension(AUTHORITY_USAGE, critical=True)
     builder = builder.add_extension(identifier, critical=False)
-    return key_pair(key, builder.sign(key, None))
+    return encode_key_pair(key, builder.sign(key, None))
 
 
-def make_instance(
+def issue_instance_keys(
     authority: KeyPair, name: str, now: datetime | None = None, days: float = INSTANCE_DAYS
 ) -> KeyPair:
     """Returns a new key and certificate of an instance.
@@ -124,7 +124,7 @@
     builder = builder.add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), critical=False)
     builder = builder.add_extension(INSTANCE_USAGE, critical=False)
     builder = builder.add_extension(identifier, critical=False)
-    return key_pair(key, builder.sign(signer, None))
+    return encode_key_pair(key, builder.sign(signer, None))
 
 
 def begin_certificate(
@@ -153,7 +153,7 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
 
 
-def key_pair(key: ed25519.Ed25519PrivateKey, certificate: x509.Certificate) -> KeyPair:
+def encode_key_pair(key: ed25519.Ed25519PrivateKey, certificate: x509.Certificate) -> KeyPair:
     """Returns both in PEM; the key is not encrypted, its file's mode protects it."""
     encoding = serialization.Encoding.PEM
     private = key.private_bytes(encoding, serialization.PrivateFormat.PKCS8, serialization.NoEncryption())
@@ -166,10 +166,10 @@
     Raises:
         ValueError: it has none, or one that can't be read.
     """
-    return [describe(certificate) for certificate in x509.load_pem_x509_certificates(data)]
+    return [read_certificate_info(certificate) for certificate in x509.load_pem_x509_certificates(data)]
 
 
-def describe(certificate: x509.Certificate) -> CertificateInfo:
+def read_certificate_info(certificate: x509.Certificate) -> CertificateInfo:
     """Returns what a certificate says."""
     try:
         is_authority = certificate.extensions.get_extension_for_class(x509.BasicConstraints).value.ca
@@ -178,8 +178,8 @@
     return CertificateInfo(
         name=display_name(certificate.subject),
         issuer=display_name(certificate.issuer),
-        begin=certificate.not_valid_before_utc,
-        end=certificate.not_valid_after_utc,
+        valid_from=certificate.not_valid_before_utc,
+        valid_until=certificate.not_valid_after_utc,
         fingerprint=certificate.fingerprint(hashes.SHA256()).hex(),
         is_authority=is_authority,
     )
--- a/gatebank/keys/folder.py
+++ b/gatebank/keys/folder.py
@@ -24,16 +24,16 @@
 from gatebank.errors import GatebankError
 from gatebank.keys.authority import CertificateInfo, read_certificates
 
-AUTHORITY = "authority.pem"
-CERTIFICATE = "instance.pem"
-KEY = "instance.key"
-REVOKED = "revoked.txt"
-FILES = (AUTHORITY, CERTIFICATE, KEY, REVOKED)
+AUTHORITY_FILE = "authority.pem"
+CERTIFICATE_FILE = "instance.pem"
+KEY_FILE = "instance.key"
+REVOKED_FILE = "revoked.txt"
+FILE_NAMES = (AUTHORITY_FILE, CERTIFICATE_FILE, KEY_FILE, REVOKED_FILE)
 MAX_FILE_BYTES = 1 << 20  # hundreds of certificates
 # Days before the end of a certificate from which there are warnings: time for operators to make a new one.
 WARNING_DAYS = 14.0
 SECONDS_PER_DAY = 86400
-OTHERS_MODE = 0o077  # the permission bits that a private file must not have
+GROUP_AND_OTHERS_MODE = 0o077  # the permission bits that a private file must not have
 
 
 class KeyFolderError(GatebankError):
@@ -80,7 +80,7 @@
         certificates = [("instance", self.instance)]
         certificates += [("authority", authority) for authority in self.authorities]
         for kind, certificate in certificates:
-            days = (certificate.end - now).total_seconds() / SECONDS_PER_DAY
+            days = (certificate.valid_until - now).total_seconds() / SECONDS_PER_DAY
             if days < WARNING_DAYS:
                 end = "ended" if days < 0 else f"ends in {days:.1f} days"
                 warnings.append(f"{kind} {certificate.name}: {end}")
@@ -94,26 +94,26 @@
         KeyFolderError: one is missing, can't be read, is too large, or is a key that others may read.
     """
     files: dict[str, bytes] = {}
-    for name in FILES:
+    for name in FILE_NAMES:
         path = folder / name
         try:
             with path.open("rb") as file:
                 files[name] = file.read(MAX_FILE_BYTES + 1)
                 mode = os.fstat(file.fileno()).st_mode
         except FileNotFoundError:
-            if name == REVOKED:
+            if name == REVOKED_FILE:
                 continue
             raise KeyFolderError(path, "is missing") from None
         except OSError as error:
             raise KeyFolderError(path, str(error.strerror)) from error
         if len(files[name]) > MAX_FILE_BYTES:
             raise KeyFolderError(path, f"more than {MAX_FILE_BYTES} bytes")
-        if name == KEY and mode & OTHERS_MODE:
+        if name == KEY_FILE and mode & GROUP_AND_OTHERS_MODE:
             raise KeyFolderError(path, "others may read it; mode 0600 is needed")
     return files
 
 
-def digest(files: dict[str, bytes]) -> str:
+def compute_digest(files: dict[str, bytes]) -> str:
     """Returns a digest of files' names and contents, which tells whether a folder has changed."""
     whole = b"".join(name.encode() + len(data).to_bytes(8, "big") + data for name, data in files.items())
     return blake2b(whole, digest_size=16).hexdigest()
@@ -131,8 +131,8 @@
     """
     files = read_files(folder)
     try:
-        [instance, *_] = read_certificates(files[CERTIFICATE])
-        authorities = read_certificates(files[AUTHORITY])
+        [instance, *_] = read_certificates(files[CERTIFICATE_FILE])
+        authorities = read_certificates(files[AUTHORITY_FILE])
     except ValueError as error:
         raise KeyFolderError(folder, f"a certificate can't be read: {error}") from error
     check_validity(folder, instance, authorities, now or datetime.now(UTC))
@@ -142,8 +142,8 @@
         client=make_context(ssl.PROTOCOL_TLS_CLIENT, files, folder),
         instance=instance,
         authorities=authorities,
-        revoked=read_revoked(files.get(REVOKED, b"")),
-        digest=digest(files),
+        revoked=read_revoked(files.get(REVOKED_FILE, b"")),
+        digest=compute_digest(files),
     )
 
 
@@ -154,13 +154,15 @@
 
     An authority that has ended is accepted, as it stays beside its successor for a while.
     """
-    if instance.end <= now:
-        raise KeyFolderError(folder / CERTIFICATE, f"{instance.name} ended {instance.end:%Y-%m-%d}")
-    certificates = [(CERTIFICATE, instance)]
-    certificates += [(AUTHORITY, authority) for authority in authorities]
+    if instance.valid_until <= now:
+        raise KeyFolderError(
+            folder / CERTIFICATE_FILE, f"{instance.name} ended {instance.valid_until:%Y-%m-%d}"
+        )
+    certificates = [(CERTIFICATE_FILE, instance)]
+    certificates += [(AUTHORITY_FILE, authority) for authority in authorities]
     for file_name, certificate in certificates:
-        if certificate.begin > now:
-            reason = f"{certificate.name} begins {certificate.begin:%Y-%m-%d %H:%M}"
+        if certificate.valid_from > now:
+            reason = f"{certificate.name} begins {certificate.valid_from:%Y-%m-%d %H:%M}"
             raise KeyFolderError(folder / file_name, reason)
 
 
@@ -198,12 +200,12 @@
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     try:
-        context.load_verify_locations(cadata=files[AUTHORITY].decode("ascii"))
+        context.load_verify_locations(cadata=files[AUTHORITY_FILE].decode("ascii"))
         # The ssl module takes a chain from files alone. These have what was read and checked, and not what
         # is in the folder by now.
         with contextlib.ExitStack() as stack:
-            certificate = stack.enter_context(private_file(files[CERTIFICATE]))
-            key = stack.enter_context(private_file(files[KEY]))
+            certificate = stack.enter_context(temporary_private_file(files[CERTIFICATE_FILE]))
+            key = stack.enter_context(temporary_private_file(files[KEY_FILE]))
             context.load_cert_chain(certificate, key)
     except (ssl.SSLError, ValueError, OSError) as error:
         raise KeyFolderError(folder, str(error)) from error
@@ -211,7 +213,7 @@
 
 
 @contextlib.contextmanager
-def private_file(data: bytes) -> Iterator[Path]:
+def temporary_private_file(data: bytes) -> Iterator[Path]:
     """Gives a temporary file with these contents that only this process's user may read."""
     descriptor, name = tempfile.mkstemp()
     path = Path(name)
@@ -240,7 +242,7 @@
     def reload(self) -> bool:
         """Returns whether new keys are in force; if the folder can't be used, ``error`` says why."""
         try:
-            unchanged = digest(read_files(self.folder)) == self.keys.digest
+            unchanged = compute_digest(read_files(self.folder)) == self.keys.digest
             if not unchanged:
                 self.keys = read_keys(self.folder)
         except KeyFolderError as error:
@@ -249,7 +251,7 @@
         self.error = ""
         return not unchanged
 
-    def rejection(self, name: str, serial: str, allowed: frozenset[str]) -> str:
+    def rejection_reason(self, name: str, serial: str, allowed: frozenset[str]) -> str:
         """Returns why a peer is not spoken to, in a word of the log; empty if it is.
 
         Args:
--- a/gatebank/keys/tls_stream.py
+++ b/gatebank/keys/tls_stream.py
@@ -23,18 +23,18 @@
         self.incoming_wire = ssl.MemoryBIO()
         self.outgoing_wire = ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming_wire, self.outgoing_wire, server_side=is_server)
-        self.ready = False
+        self.handshake_done = False
 
     def feed(self, data: bytes | memoryview) -> bytes:
         """Takes bytes from the wire and returns the plain bytes in them; b"" begins the handshake."""
         if data:
             self.incoming_wire.write(data)
-        if not self.ready:
+        if not self.handshake_done:
             try:
                 self.tls.do_handshake()
             except ssl.SSLWantReadError:
                 return b""
-            self.ready = True
+            self.handshake_done = True
         parts: list[bytes] = []
         while True:
             try:
@@ -50,7 +50,7 @@
         """Takes plain bytes to be sent, once ``ready``; `outgoing` has them encrypted."""
         self.tls.write(data)
 
-    def outgoing(self) -> bytes:
+    def read_outgoing(self) -> bytes:
         """Returns what is to go out on the wire now."""
         return self.outgoing_wire.read()
 
--- a/gatebank/operator_config/child.py
+++ b/gatebank/operator_config/child.py
@@ -21,13 +21,13 @@
 MAX_CALL_DEPTH = 64  # calls in one another; a settings file needs a few
 MAX_CALLS = 10_000  # of sections
 CALL_ERROR = re.compile(r"gatebank:(\d+):(.*)")  # a `CallError` in the text of a Starlark error
-STARLARK_PLACE = re.compile(r"--> .*?:(\d+):\d+")
+STARLARK_POSITION = re.compile(r"--> .*?:(\d+):\d+")
 STARLARK_ERROR = re.compile(r"^error: (.*)$", re.MULTILINE)
 
-Plain = str | bool | int | float | None | list["Plain"] | dict[str, "Plain"]
+JsonValue = str | bool | int | float | None | list["JsonValue"] | dict[str, "JsonValue"]
 
 
-class PlainValueError(Exception):
+class UnsupportedValueError(Exception):
     """A field has a value that JSON can't hold, as a function."""
 
     def __str__(self) -> str:
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True)
-class SectionName:
+class SectionNamePosition:
     """The place of a called name in the script, lines from 1 and columns in bytes."""
 
     call: ast.Call
@@ -66,10 +66,10 @@
     column: int
 
 
-def find_section_names(text: str, sections: Sequence[str]) -> list[SectionName]:
+def find_section_names(text: str, sections: Sequence[str]) -> list[SectionNamePosition]:
     """Returns where sections are called, the last first; raises what `ast.parse` raises."""
     names = [
-        SectionName(node, node.func.id, node.func.lineno, node.func.col_offset)
+        SectionNamePosition(node, node.func.id, node.func.lineno, node.func.col_offset)
         for node in ast.walk(ast.parse(text))
         if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id in sections
     ]
@@ -96,29 +96,31 @@
         end = name.column + len(name.section)
         if line[name.column : end] != name.section.encode():
             return text, []
-        lines[name.line - 1] = line[: name.column] + numbered(name.section, number).encode() + line[end:]
+        lines[name.line - 1] = (
+            line[: name.column] + call_site_name(name.section, number).encode() + line[end:]
+        )
         field_lines = {each.arg: each.value.lineno for each in name.call.keywords if each.arg}
         sites.append(CallSite(name.section, name.call.lineno, field_lines))
     return b"\n".join(lines).decode(), sites
 
 
-def numbered(section: str, number: int) -> str:
+def call_site_name(section: str, number: int) -> str:
     """Returns the name of one call site."""
     return f"{section}__{number}"
 
 
-def plain(value: object) -> Plain:
+def to_json_value(value: object) -> JsonValue:
     """Returns a value of the script as JSON can hold it; raises PlainValueError if it can't."""
     if value is None or isinstance(value, str | bool | int | float):
         return value
     if isinstance(value, list | tuple):
-        return [plain(each) for each in value]
+        return [to_json_value(each) for each in value]
     if isinstance(value, dict) and all(isinstance(key, str) for key in value):
-        return {key: plain(each) for key, each in value.items()}
-    raise PlainValueError
+        return {key: to_json_value(each) for key, each in value.items()}
+    raise UnsupportedValueError
 
 
-class Recorder:
+class CallRecorder:
     """Notes the calls of sections as the script makes them."""
 
     def __init__(self) -> None:
@@ -134,8 +136,8 @@
             if len(self.calls) >= MAX_CALLS:
                 raise CallError(site.line, site.section, f"more than {MAX_CALLS} sections")
             try:
-                values = {name: plain(value) for name, value in fields.items()}
-            except PlainValueError as error:
+                values = {name: to_json_value(value) for name, value in fields.items()}
+            except UnsupportedValueError as error:
                 raise CallError(site.line, site.section, str(error)) from None
             call = {"section": site.section, "fields": values, "line": site.line, "lines": site.field_lines}
             self.calls.append(call)
@@ -150,13 +152,13 @@
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
 
 
-def explain(error_text: str, sections: Sequence[str]) -> dict[str, Any]:
+def parse_starlark_error(error_text: str, sections: Sequence[str]) -> dict[str, Any]:
     """Returns line and reason of a Starlark error, without the numbers of call sites."""
     names = "|".join(map(re.escape, sections))
     text = re.sub(rf"\b({names})__\d+", r"\1", error_text)
     if call_error := CALL_ERROR.search(text):
         return {"line": int(call_error.group(1)), "why": call_error.group(2)}
-    places = STARLARK_PLACE.findall(text)
+    places = STARLARK_POSITION.findall(text)
     errors = STARLARK_ERROR.findall(text) or [text.strip().split("\n")[0]]
     return {"line": int(places[-1]) if places else 0, "why": errors[0]}
 
@@ -165,20 +167,20 @@
     """Returns what this program prints of a script."""
     import starlark  # behind the limits of this process
 
-    recorder = Recorder()
+    recorder = CallRecorder()
     module = starlark.Module()
     # Under its own name a section is known too, for calls that `name_call_sites` does not find.
     for section in sections:
         module.add_callable(section, recorder.function(CallSite(section)))
     text, sites = name_call_sites(text, sections)
     for number, site in enumerate(sites):
-        module.add_callable(numbered(site.section, number), recorder.function(site))
+        module.add_callable(call_site_name(site.section, number), recorder.function(site))
     try:
         tree = starlark.parse(file_name, text, starlark.Dialect.standard())
         options = starlark.EvalOptions(max_callstack_size=MAX_CALL_DEPTH)
         starlark.eval_with(options, module, tree, starlark.Globals.standard())
     except starlark.StarlarkError as error:
-        return explain(str(error), sections)
+        return parse_starlark_error(str(error), sections)
     return {"calls": recorder.calls}
 
 
--- a/gatebank/operator_config/operators_file.py
+++ b/gatebank/operator_config/operators_file.py
@@ -45,7 +45,7 @@
         return "\n".join(lines)
 
 
-class PlacedSection(NamedTuple):
+class SectionWithLine(NamedTuple):
     """A section and the line of its call."""
 
     section: Section
@@ -61,7 +61,7 @@
         sections: in the file's order.
     """
 
-    def __init__(self, path: Path, sections: Sequence[PlacedSection]) -> None:
+    def __init__(self, path: Path, sections: Sequence[SectionWithLine]) -> None:
         self.path = path
         self.folder = path.resolve().parent
         self.sections = sections
@@ -106,9 +106,9 @@
 
 def build_sections(
     calls: Sequence[SectionCall], kinds: dict[str, type[Section]]
-) -> tuple[list[PlacedSection], list[SectionError]]:
+) -> tuple[list[SectionWithLine], list[SectionError]]:
     """Returns the sections of all calls that are right, and the errors of the others."""
-    sections: list[PlacedSection] = []
+    sections: list[SectionWithLine] = []
     errors: list[SectionError] = []
     for call in calls:
         kind = kinds[call.section]
@@ -119,5 +119,5 @@
         if kind.once and earlier:
             reason = f"{call.section} stands twice, first in line {earlier.line}"
             errors.append(SectionError(call.line, reason))
-        sections.append(PlacedSection(kind.build(call), call.line))
+        sections.append(SectionWithLine(kind.build(call), call.line))
     return sections, errors
--- a/gatebank/operator_config/sections.py
+++ b/gatebank/operator_config/sections.py
@@ -31,7 +31,7 @@
 
 from gatebank.errors import GatebankError
 
-MAX_SHOWN = 60  # characters of a value in a message, which is one line
+MAX_VALUE_CHARACTERS = 60  # characters of a value in a message, which is one line
 
 
 class SectionError(GatebankError):
@@ -112,7 +112,7 @@
         if errors:
             return errors
         for name, reason in msgspec.convert(call.fields, cls).check():
-            value = f" = {shown(call.fields[name])}" if name in call.fields else ""
+            value = f" = {format_value(call.fields[name])}" if name in call.fields else ""
             errors.append(SectionError(call.line_of(name), f"{cls.section}: {name}{value}: {reason}"))
         return errors
 
@@ -129,8 +129,8 @@
         try:
             msgspec.convert(value, fields[name].type)
         except msgspec.ValidationError as error:
-            reason = f"{plain_text(error)}; allowed is {allowed(fields[name].type)}"
-            return SectionError(line, f"{cls.section}: {name} = {shown(value)}: {reason}")
+            reason = f"{readable_error(error)}; allowed is {describe_allowed(fields[name].type)}"
+            return SectionError(line, f"{cls.section}: {name} = {format_value(value)}: {reason}")
         return None
 
     @classmethod
@@ -145,37 +145,39 @@
         return msgspec.convert(call.fields, cls)
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     r"""Returns a value as the script would have it, on one line, cut to ``MAX_SHOWN`` characters.
 
-    >>> shown("a\nb"), shown([True, None]), len(shown("x" * 1000))
+    >>> format_value("a\nb"), format_value([True, None]), len(format_value("x" * 1000))
     ('"a\\nb"', '[True, None]', 60)
     """
     match value:
         case str():
             text = msgspec.json.encode(value).decode()
         case list():
-            text = "[" + ", ".join(map(shown, value[:MAX_SHOWN])) + "]"
+            text = "[" + ", ".join(map(format_value, value[:MAX_VALUE_CHARACTERS])) + "]"
         case _:
             text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[: MAX_SHOWN - 1] + "…"
+    return text if len(text) <= MAX_VALUE_CHARACTERS else text[: MAX_VALUE_CHARACTERS - 1] + "…"
 
 
-def plain_text(error: msgspec.ValidationError) -> str:
+def readable_error(error: msgspec.ValidationError) -> str:
     """Returns the text of an error without the mark of the value's root.
 
-    >>> plain_text(msgspec.ValidationError("Expected `int`, got `str` - at `$[0]`"))
+    >>> readable_error(msgspec.ValidationError("Expected `int`, got `str` - at `$[0]`"))
     'Expected `int`, got `str` - at [0]'
     """
     return str(error).replace("`$", "").replace("]`", "]")
 
 
-def allowed(hint: object) -> str:
+def describe_allowed(hint: object) -> str:
     """Returns what a field of a type may hold, for people.
 
     >>> from typing import Annotated, Literal
-    >>> allowed(Annotated[int, msgspec.Meta(ge=1, le=9)]), allowed(list[Literal["a", "b"]]), allowed(bool)
-    ('a whole number from 1 to 9', 'a list of "a" or "b"', 'True or False')
+    >>> describe_allowed(Annotated[int, msgspec.Meta(ge=1, le=9)])
+    'a whole number from 1 to 9'
+    >>> describe_allowed(list[Literal["a", "b"]]), describe_allowed(bool)
+    ('a list of "a" or "b"', 'True or False')
     """
     return describe_type(inspect.type_info(hint))
 
@@ -184,7 +186,7 @@
     """Returns what values of a type are called."""
     match kind:
         case inspect.LiteralType():
-            text = " or ".join(map(shown, kind.values))
+            text = " or ".join(map(format_value, kind.values))
         case inspect.ListType():
             text = f"a list of {describe_type(kind.item_type)}"
         case inspect.UnionType():
--- a/gatebank/state_transfer/connection.py
+++ b/gatebank/state_transfer/connection.py
@@ -72,9 +72,9 @@
             return
         self.tls.feed(b"")
         while True:
-            if outgoing := self.tls.outgoing():
+            if outgoing := self.tls.read_outgoing():
                 await self.loop.sock_sendall(self.sock, outgoing)
-            if self.tls.ready:
+            if self.tls.handshake_done:
                 return
             size = await self.loop.sock_recv_into(self.sock, self.buffer)
             if not size:
@@ -85,7 +85,7 @@
         """Sends all bytes of ``data``."""
         if self.tls is not None:
             self.tls.encrypt(data)
-            data = self.tls.outgoing()
+            data = self.tls.read_outgoing()
         await self.loop.sock_sendall(self.sock, data)
 
     async def read(self) -> bytes:
@@ -100,7 +100,7 @@
             if not size or self.tls is None:
                 return bytes(received)
             data = self.tls.feed(received)
-            if outgoing := self.tls.outgoing():
+            if outgoing := self.tls.read_outgoing():
                 await self.loop.sock_sendall(self.sock, outgoing)
             if data:
                 return data
--- a/gatebank/state_transfer/peer_keys.py
+++ b/gatebank/state_transfer/peer_keys.py
@@ -45,7 +45,7 @@
             tls: TLS state of the connection, after the handshake.
             allowed: Accepted names in certificates.
         """
-        reason = self.reloadable.rejection(tls.peer_name, tls.peer_serial, frozenset(allowed))
+        reason = self.reloadable.rejection_reason(tls.peer_name, tls.peer_serial, frozenset(allowed))
         if reason:
             log_kv("peer_refused", logging.WARNING, peer=tls.peer_name or "?", why=reason)
         return reason
@@ -55,7 +55,7 @@
         earlier_error = self.reloadable.error
         if self.reloadable.reload():
             keys = self.reloadable.keys
-            log_kv("keys", name=keys.name, until=f"{keys.instance.end:%Y-%m-%d}")
+            log_kv("keys", name=keys.name, until=f"{keys.instance.valid_until:%Y-%m-%d}")
         elif self.reloadable.error and self.reloadable.error != earlier_error:
             log_kv("keys_failed", logging.ERROR, why=self.reloadable.error)
 
