--- a/gatebank/keys/__init__.py
+++ b/gatebank/keys/__init__.py
@@ -1,7 +1,7 @@
-"""Keys and certificates of connections between instances, and TLS on them.
+"""Keys and certificates for the connections between instances, and TLS on these connections.
 
-authority.py   makes a certificate authority and the keys of instances (cryptography)
-folder.py      reads and checks a folder of keys; contexts that are renewed in service
-tls_stream.py  TLS without sockets: bytes in, bytes out
-section.py     `keys(...)` in the operators' file
+authority.py   creates a certificate authority and the keys of instances (uses the library cryptography)
+folder.py      reads and checks a key folder, and reloads its TLS contexts while the instance runs
+tls_stream.py  TLS without sockets: takes and returns bytes
+section.py     the section `keys(...)` of the operators' file
 """
--- a/gatebank/keys/authority.py
+++ b/gatebank/keys/authority.py
@@ -1,8 +1,8 @@
-"""A small certificate authority and the keys of instances. Bytes out; `cli/keys.py` writes the files.
+"""A small certificate authority and the keys of instances. Returns bytes; `cli/keys.py` writes the files.
 
-Keys are Ed25519. An instance's certificate has its name as a DNS name and as the common name, for both sides
-of a connection. The authority may sign instances only (path length 0). The forms are those of RFC 5280 and
-RFC 8410.
+Keys are Ed25519. An instance's certificate has the instance's name as a DNS name and as the common name, and
+is valid for both sides of a connection. The authority may sign certificates of instances only, not of other
+authorities (path length 0). The formats follow RFC 5280 and RFC 8410.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from gatebank.errors import GatebankError
 
-# Certificates begin so long before they are made, since the clocks of two machines may differ.
+# A certificate is valid from this long before its creation, because the clocks of two machines may differ.
 BACKDATING = timedelta(minutes=5)
-# Days that a certificate lasts by default: an authority outlives its machines, an instance is renewed often.
+# Default validity in days. An authority outlives the machines; an instance's certificate is renewed often.
 AUTHORITY_DAYS = 3650
 INSTANCE_DAYS = 90
-# An authority signs certificates and lists of revoked ones, and nothing else.
+# An authority's key may sign only certificates and lists of revoked certificates.
 AUTHORITY_USAGE = x509.KeyUsage(
     digital_signature=False,
     content_commitment=False,
@@ -38,10 +38,10 @@
 
 
 class AuthorityError(GatebankError, ValueError):
-    """An authority can't sign.
+    """An authority cannot sign a certificate.
 
     Attributes:
-        reason: why not.
+        reason: Why the authority cannot sign.
     """
 
     def __init__(self, reason: str) -> None:
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class KeyPair:
-    """A private key and its certificate, both in PEM."""
+    """A private key and its certificate, both in PEM format."""
 
     key: bytes
     certificate: bytes
@@ -59,14 +59,15 @@
 
 @dataclass(slots=True, frozen=True)
 class CertificateInfo:
-    """What a certificate says.
+    """Contents of a certificate.
 
     Attributes:
-        name: of its subject.
-        issuer: name of who signed it.
-        begin, end: when it is valid.
-        fingerprint: SHA-256, in hexadecimal.
-        is_authority: whether it may sign others.
+        name: Name of the certificate's subject.
+        issuer: Name of the authority that signed the certificate.
+        valid_from: Start of the certificate's validity.
+        valid_until: End of the certificate's validity.
+        fingerprint: SHA-256 of the certificate, in hexadecimal.
+        is_authority: Whether the certificate's key may sign other certificates.
     """
 
     name: str
@@ -78,12 +79,12 @@
 
 
 def make_authority(title: str, now: datetime | None = None, days: float = AUTHORITY_DAYS) -> KeyPair:
-    """Returns a new authority.
+    """Create an authority with a new key and a self-signed certificate.
 
     Args:
-        title: its name.
-        now: for tests; else the present time.
-        days: that it lasts.
+        title: Name of the authority.
+        now: Time of creation, set by tests; by default the current time.
+        days: Validity of the certificate in days.
     """
     key = ed25519.Ed25519PrivateKey.generate()
     identifier = x509.SubjectKeyIdentifier.from_public_key(key.public_key())
@@ -98,17 +99,18 @@
 def issue_instance_keys(
     authority: KeyPair, name: str, now: datetime | None = None, days: float = INSTANCE_DAYS
 ) -> KeyPair:
-    """Returns a new key and certificate of an instance.
+    """Create a new key and certificate for an instance.
 
     Args:
-        authority: signs it; the certificate ends with the authority's at the latest.
-        name: of the instance.
-        now: for tests; else the present time.
-        days: that it lasts.
+        authority: The authority that signs the certificate. The validity of the instance's certificate does
+            not extend beyond the end of the authority's certificate.
+        name: Name of the instance.
+        now: Time of creation, set by tests; by default the current time.
+        days: Validity of the certificate in days.
 
     Raises:
-        AuthorityError: the authority can't sign.
-        ValueError: its files are no key and certificate.
+        AuthorityError: The authority cannot sign.
+        ValueError: The authority's files do not contain a key and a certificate.
     """
     signer = serialization.load_pem_private_key(authority.key, None)
     issuer = x509.load_pem_x509_certificate(authority.certificate)
@@ -134,7 +136,7 @@
     days: float,
     latest_end: datetime | None = None,
 ) -> x509.CertificateBuilder:
-    """Returns what certificates of authorities and instances have alike: subject, key, number and time."""
+    """Return a builder with the parts of all certificates: subject, key, serial number and validity."""
     end = now + timedelta(days=days)
     if latest_end is not None:
         end = min(end, latest_end)
@@ -149,28 +151,28 @@
 
 
 def common_name(name: str) -> x509.Name:
-    """Returns a subject or issuer of this name."""
+    """Return a certificate subject or issuer with this common name."""
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
 
 
 def encode_key_pair(key: ed25519.Ed25519PrivateKey, certificate: x509.Certificate) -> KeyPair:
-    """Returns both in PEM; the key is not encrypted, its file's mode protects it."""
+    """Encode a key and its certificate in PEM format; the key is unencrypted, its file's mode protects it."""
     encoding = serialization.Encoding.PEM
     private = key.private_bytes(encoding, serialization.PrivateFormat.PKCS8, serialization.NoEncryption())
     return KeyPair(private, certificate.public_bytes(encoding))
 
 
 def read_certificates(data: bytes) -> list[CertificateInfo]:
-    """Returns what all certificates of a PEM file say.
+    """Return the contents of all certificates in a PEM file.
 
     Raises:
-        ValueError: it has none, or one that can't be read.
+        ValueError: The file has no certificate, or one that cannot be read.
     """
     return [read_certificate_info(certificate) for certificate in x509.load_pem_x509_certificates(data)]
 
 
 def read_certificate_info(certificate: x509.Certificate) -> CertificateInfo:
-    """Returns what a certificate says."""
+    """Return the contents of a certificate."""
     try:
         is_authority = certificate.extensions.get_extension_for_class(x509.BasicConstraints).value.ca
     except x509.ExtensionNotFound:
@@ -186,6 +188,6 @@
 
 
 def display_name(name: x509.Name) -> str:
-    """Returns the common name, or all of a name that has none."""
+    """Return the common name, or the whole distinguished name if it has no common name."""
     attributes = name.get_attributes_for_oid(NameOID.COMMON_NAME)
     return str(attributes[0].value) if attributes else name.rfc4514_string()
--- a/gatebank/keys/folder.py
+++ b/gatebank/keys/folder.py
@@ -1,12 +1,13 @@
-"""What is in a folder of keys, the TLS contexts made of it, and its renewal in service.
+"""Reads and checks key folders, builds TLS contexts from them, and reloads them while the instance runs.
 
-    authority.pem   certificates of the trusted authorities: two while one follows the other
-    instance.pem    this instance's certificate
-    instance.key    its key, readable by its owner alone
-    revoked.txt     serial numbers, a hexadecimal one a line, of certificates no longer accepted; optional
+    authority.pem   certificates of the trusted authorities; two while one authority replaces another
+    instance.pem    certificate of this instance
+    instance.key    private key of this instance, readable only by its owner
+    revoked.txt     serial numbers of certificates that are no longer accepted, in hexadecimal, one per line;
+                    this file is optional
 
-A folder is read and checked whole before it replaces what was in force, so a half-written file changes
-nothing. Open connections keep the keys that they began with.
+The whole folder is read and checked before its keys replace the previous ones, so a half-written file has no
+effect. Open connections keep the keys with which they were opened.
 """
 
 from __future__ import annotations
@@ -29,19 +30,19 @@
 KEY_FILE = "instance.key"
 REVOKED_FILE = "revoked.txt"
 FILE_NAMES = (AUTHORITY_FILE, CERTIFICATE_FILE, KEY_FILE, REVOKED_FILE)
-MAX_FILE_BYTES = 1 << 20  # hundreds of certificates
-# Days before the end of a certificate from which there are warnings: time for operators to make a new one.
+MAX_FILE_BYTES = 1 << 20  # Enough for hundreds of certificates.
+# Warnings start this many days before a certificate expires, so that operators have time to renew it.
 WARNING_DAYS = 14.0
 SECONDS_PER_DAY = 86400
-GROUP_AND_OTHERS_MODE = 0o077  # the permission bits that a private file must not have
+GROUP_AND_OTHERS_MODE = 0o077  # Permission bits that a private file must not have.
 
 
 class KeyFolderError(GatebankError):
-    """A folder of keys can't be used.
+    """A key folder cannot be used.
 
     Attributes:
-        path: of the file at fault, or the folder.
-        reason: what is wrong with it.
+        path: Path of the faulty file, or of the folder.
+        reason: Description of the error.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -55,15 +56,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Keys:
-    """A folder that was read whole.
+    """Contents of a key folder that was read and checked completely.
 
     Attributes:
-        name: of the instance, by its certificate.
-        server, client: TLS contexts of the two sides of a connection.
-        instance: what the instance's certificate says.
-        authorities: what those of the trusted authorities say.
-        revoked: serial numbers in hexadecimal, upper case without leading zeros.
-        digest: of the files' contents.
+        name: Name of the instance, from its certificate.
+        server: TLS context for accepted connections.
+        client: TLS context for connections that the instance opens.
+        instance: Contents of the instance's certificate.
+        authorities: Contents of the certificates of the trusted authorities.
+        revoked: Revoked serial numbers in hexadecimal, upper case without leading zeros.
+        digest: Digest of the files' contents.
     """
 
     name: str
@@ -75,7 +77,7 @@
     digest: str = ""
 
     def expiry_warnings(self, now: datetime) -> list[str]:
-        """Returns a text for each certificate that ends within ``WARNING_DAYS``, or has ended."""
+        """Return a message for each certificate that expires within ``WARNING_DAYS`` or has expired."""
         warnings = []
         certificates = [("instance", self.instance)]
         certificates += [("authority", authority) for authority in self.authorities]
@@ -88,10 +90,10 @@
 
 
 def read_files(folder: Path) -> dict[str, bytes]:
-    """Returns the contents of a folder's files, by name.
+    """Return the contents of a folder's files by file name.
 
     Raises:
-        KeyFolderError: one is missing, can't be read, is too large, or is a key that others may read.
+        KeyFolderError: A file is missing, cannot be read or is too large, or other users may read the key.
     """
     files: dict[str, bytes] = {}
     for name in FILE_NAMES:
@@ -114,27 +116,27 @@
 
 
 def compute_digest(files: dict[str, bytes]) -> str:
-    """Returns a digest of files' names and contents, which tells whether a folder has changed."""
+    """Return a digest of the names and contents of files, used to detect whether a folder has changed."""
     whole = b"".join(name.encode() + len(data).to_bytes(8, "big") + data for name, data in files.items())
     return blake2b(whole, digest_size=16).hexdigest()
 
 
 def read_keys(folder: Path, now: datetime | None = None) -> Keys:
-    """Reads a folder and checks it: the key fits its certificate, and no certificate's time is wrong.
+    """Read a folder, and check that the key matches its certificate and that the certificates are valid now.
 
     Args:
-        folder: of the files.
-        now: for tests; else the present time.
+        folder: Folder of the files.
+        now: Time of the check, set by tests; by default the current time.
 
     Raises:
-        KeyFolderError: it can't be used.
+        KeyFolderError: The folder cannot be used.
     """
     files = read_files(folder)
     try:
         [instance, *_] = read_certificates(files[CERTIFICATE_FILE])
         authorities = read_certificates(files[AUTHORITY_FILE])
     except ValueError as error:
-        raise KeyFolderError(folder, f"a certificate can't be read: {error}") from error
+        raise KeyFolderError(folder, f"a certificate cannot be read: {error}") from error
     check_validity(folder, instance, authorities, now or datetime.now(UTC))
     return Keys(
         name=instance.name,
@@ -150,9 +152,9 @@
 def check_validity(
     folder: Path, instance: CertificateInfo, authorities: list[CertificateInfo], now: datetime
 ) -> None:
-    """Raises KeyFolderError if the instance's certificate has ended, or any has not begun.
+    """Raise KeyFolderError if the instance's certificate has expired, or any certificate is not valid yet.
 
-    An authority that has ended is accepted, as it stays beside its successor for a while.
+    An expired authority is accepted, because it stays in the file with its successor for a while.
     """
     if instance.valid_until <= now:
         raise KeyFolderError(
@@ -167,7 +169,7 @@
 
 
 def read_revoked(data: bytes) -> frozenset[str]:
-    """Returns the serial numbers in a file of revoked certificates; lines that begin with # are comments."""
+    """Return the serial numbers in a file of revoked certificates; lines that start with # are comments."""
     lines = data.decode("ascii", "replace").splitlines()
     return frozenset(
         normalize_serial(line.strip()) for line in lines if line.strip() and not line.startswith("#")
@@ -175,7 +177,7 @@
 
 
 def normalize_serial(serial: str) -> str:
-    """Returns a hexadecimal serial number as `Keys.revoked` has it.
+    """Convert a hexadecimal serial number to the format of `Keys.revoked`.
 
     >>> normalize_serial("00ab")
     'AB'
@@ -184,25 +186,25 @@
 
 
 def make_context(protocol: int, files: dict[str, bytes], folder: Path) -> ssl.SSLContext:
-    """Returns a context for mutual TLS 1.3 and nothing else.
+    """Return a TLS context that accepts only TLS 1.3 with certificates of both sides.
 
     Args:
         protocol: ssl.PROTOCOL_TLS_SERVER or ssl.PROTOCOL_TLS_CLIENT.
-        files: contents by name.
-        folder: named in errors.
+        files: Contents of the files by file name.
+        folder: Folder of the files, named in error messages.
 
     Raises:
-        KeyFolderError: a certificate or key can't be used, or they do not belong together.
+        KeyFolderError: A certificate or key cannot be used, or the key does not match its certificate.
     """
     context = ssl.SSLContext(protocol)
     context.minimum_version = ssl.TLSVersion.TLSv1_3
-    # Names are checked against the operators' file, and not against addresses.
+    # The caller checks the peer's name against the operators' file, not against its address.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     try:
         context.load_verify_locations(cadata=files[AUTHORITY_FILE].decode("ascii"))
-        # The ssl module takes a chain from files alone. These have what was read and checked, and not what
-        # is in the folder by now.
+        # The ssl module loads a certificate chain only from files. The temporary files hold the contents that
+        # were read and checked; the files in the folder may have changed since.
         with contextlib.ExitStack() as stack:
             certificate = stack.enter_context(temporary_private_file(files[CERTIFICATE_FILE]))
             key = stack.enter_context(temporary_private_file(files[KEY_FILE]))
@@ -214,7 +216,7 @@
 
 @contextlib.contextmanager
 def temporary_private_file(data: bytes) -> Iterator[Path]:
-    """Gives a temporary file with these contents that only this process's user may read."""
+    """Provide a temporary file with these contents that only the user of this process may read."""
     descriptor, name = tempfile.mkstemp()
     path = Path(name)
     try:
@@ -226,21 +228,25 @@
 
 
 class ReloadableKeys:
-    """The keys of a folder in service; `reload` replaces them only by what was read and checked whole.
+    """The current keys of a folder; `reload` replaces them only if the whole folder was read and checked.
 
     Attributes:
-        keys: in force now.
-        error: why the folder can't be used as it is now; empty if it can.
+        folder: The key folder.
+        keys: The keys in use.
+        error: Why the present contents of the folder cannot be used; empty if they can.
     """
 
     def __init__(self, folder: Path) -> None:
-        """Reads the folder; raises KeyFolderError if it can't be used."""
+        """Read the folder; raises KeyFolderError if the folder cannot be used."""
         self.folder = folder
         self.keys = read_keys(folder)
         self.error = ""
 
     def reload(self) -> bool:
-        """Returns whether new keys are in force; if the folder can't be used, ``error`` says why."""
+        """Read the folder again and return whether the keys were replaced.
+
+        If the folder cannot be used, the previous keys stay in use and ``error`` holds the reason.
+        """
         try:
             unchanged = compute_digest(read_files(self.folder)) == self.keys.digest
             if not unchanged:
@@ -252,12 +258,12 @@
         return not unchanged
 
     def rejection_reason(self, name: str, serial: str, allowed: frozenset[str]) -> str:
-        """Returns why a peer is not spoken to, in a word of the log; empty if it is.
+        """Return why a peer is rejected, as a value for the log; empty if the peer is accepted.
 
         Args:
-            name: in its certificate.
-            serial: of its certificate, in hexadecimal.
-            allowed: names that are spoken to.
+            name: Name in the peer's certificate.
+            serial: Serial number of the peer's certificate, in hexadecimal.
+            allowed: Names of the accepted peers.
         """
         if normalize_serial(serial) in self.keys.revoked:
             return "revoked"
--- a/gatebank/keys/section.py
+++ b/gatebank/keys/section.py
@@ -1,4 +1,4 @@
-"""`keys(...)` in the operators' file: where the keys for connections between instances are."""
+"""The section `keys(...)` of the operators' file: location of the keys for connections between instances."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 
 class KeysSection(Section, kw_only=True, frozen=True):
-    """Relative paths begin at the operators' file's own folder.
+    """Settings of the key folder; relative paths are resolved against the folder of the operators' file.
 
     Attributes:
-        folder: of authority.pem, instance.pem, instance.key and maybe revoked.txt, as `gatebank keys` makes.
-        watch_interval: seconds between two looks for changed files; SIGHUP looks at once.
+        folder: Folder with authority.pem, instance.pem, instance.key and optionally revoked.txt, as created
+            by `gatebank keys`.
+        watch_interval: Seconds between checks for changed files; SIGHUP causes an immediate check.
     """
 
     section: ClassVar[str] = "keys"
--- a/gatebank/keys/tls_stream.py
+++ b/gatebank/keys/tls_stream.py
@@ -1,32 +1,36 @@
-"""TLS over memory: bytes from the wire in, bytes for the wire out, and plain bytes between. No I/O.
+"""TLS in memory: converts between encrypted bytes of the network and plain bytes. No I/O.
 
-The caller moves the bytes, with `sock_recv_into` and `sock_sendall`, and so keeps its socket, which asyncio's
-own TLS would take over.
+The caller transfers the bytes with `sock_recv_into` and `sock_sendall`, and thus keeps control of its socket;
+asyncio's own TLS would take over the socket.
 """
 
 from __future__ import annotations
 
 import ssl
 
-PLAIN_BYTES = 64 * 1024  # of one read: some records, of 16 KiB at most
+# Maximum size of one read of plain bytes: several TLS records, which have at most 16 KiB each.
+MAX_READ_BYTES = 64 * 1024
 
 
 class TlsStream:
-    """TLS of one connection; its methods raise ssl.SSLError, of which ssl.CertificateError is one.
+    """TLS state of one connection; its methods raise ssl.SSLError or its subclass ssl.CertificateError.
 
     Attributes:
-        ready: whether the handshake is done.
+        incoming_wire: Encrypted bytes received from the network and not yet decrypted.
+        outgoing_wire: Encrypted bytes to be sent to the network.
+        tls: The TLS object between the two buffers.
+        handshake_done: Whether the handshake has completed.
     """
 
     def __init__(self, context: ssl.SSLContext, is_server: bool) -> None:
-        """Takes a context of `folder.Keys`; names are checked by the caller and not by address."""
+        """Create the TLS state from a context of `folder.Keys`; the caller checks the name of the peer."""
         self.incoming_wire = ssl.MemoryBIO()
         self.outgoing_wire = ssl.MemoryBIO()
         self.tls = context.wrap_bio(self.incoming_wire, self.outgoing_wire, server_side=is_server)
         self.handshake_done = False
 
     def feed(self, data: bytes | memoryview) -> bytes:
-        """Takes bytes from the wire and returns the plain bytes in them; b"" begins the handshake."""
+        """Decrypt bytes received from the network and return the plain bytes; b"" starts the handshake."""
         if data:
             self.incoming_wire.write(data)
         if not self.handshake_done:
@@ -38,7 +42,7 @@
         parts: list[bytes] = []
         while True:
             try:
-                part = self.tls.read(PLAIN_BYTES)
+                part = self.tls.read(MAX_READ_BYTES)
             except (ssl.SSLWantReadError, ssl.SSLZeroReturnError):
                 break
             if not part:
@@ -47,16 +51,16 @@
         return b"".join(parts)
 
     def encrypt(self, data: bytes) -> None:
-        """Takes plain bytes to be sent, once ``ready``; `outgoing` has them encrypted."""
+        """Encrypt plain bytes, which `read_outgoing` then returns; call once ``handshake_done`` is set."""
         self.tls.write(data)
 
     def read_outgoing(self) -> bytes:
-        """Returns what is to go out on the wire now."""
+        """Remove and return the encrypted bytes that are to be sent to the network now."""
         return self.outgoing_wire.read()
 
     @property
     def peer_name(self) -> str:
-        """The name in the other side's certificate, which the handshake verified; empty if it has none."""
+        """DNS name in the peer's certificate, which the handshake verified; empty if there is no name."""
         certificate = self.tls.getpeercert() or {}
         names = certificate.get("subjectAltName", ())
         for entry in names if isinstance(names, tuple) else ():
@@ -66,6 +70,6 @@
 
     @property
     def peer_serial(self) -> str:
-        """The serial number of the other side's certificate, in hexadecimal."""
+        """Serial number of the peer's certificate, in hexadecimal."""
         certificate = self.tls.getpeercert() or {}
         return str(certificate.get("serialNumber", ""))
--- a/gatebank/operator_config/__init__.py
+++ b/gatebank/operator_config/__init__.py
@@ -1,9 +1,9 @@
-"""The operators' file: gatebank's own settings, as a Starlark script that calls sections.
+"""The operators' file: a Starlark script that configures gatebank by calling sections as functions.
 
-sections.py        what a section is: a schema that a package declares beside its code, and its checks
-script.py          runs the script in a process of its own, bounded in time and memory
-child.py           the program of that process
-operators_file.py  a file, read and checked whole
+sections.py        base class of sections (schemas that packages declare beside their code) and its checks
+script.py          runs the script in a separate process with limits on time and memory
+child.py           the program that runs in this process
+operators_file.py  reads a file and checks all of it
 
-Nothing of this is imported unless a command is given such a file.
+No module of this package is imported unless a command is started with an operators' file.
 """
--- a/gatebank/operator_config/child.py
+++ b/gatebank/operator_config/child.py
@@ -1,9 +1,9 @@
-"""Evaluates one script; `script.py` runs this file as a program that imports nothing of gatebank.
+"""Evaluates one script; `script.py` runs this file as a separate program that imports nothing from gatebank.
 
-Standard input is a JSON object of `text`, `file`, `sections` (names) and `seconds` (of processor time).
-Standard output is a JSON object of `calls` (each with section, fields, line and lines of fields), or of the
-`line` and the reason (`why`) of an error. Starlark has no files, clock or network; what a script can still do
-without limit, run and take memory, ends with this process.
+Standard input is a JSON object with the keys `text`, `file`, `sections` (their names) and `seconds` (limit of
+processor time). Standard output is a JSON object: either `calls`, a list of objects with section, fields,
+line and the lines of the fields, or the `line` and the reason (`why`) of an error. A Starlark script has no
+access to files, clock or network. The time and memory that it uses are limited by the limits of this process.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-MEMORY_BYTES = 512 * 1024 * 1024  # of address space: an empty process with Starlark maps about 150 MB
-MAX_CALL_DEPTH = 64  # calls in one another; a settings file needs a few
-MAX_CALLS = 10_000  # of sections
-CALL_ERROR = re.compile(r"gatebank:(\d+):(.*)")  # a `CallError` in the text of a Starlark error
+# Limit of the address space. A process that has loaded Starlark and runs no script maps about 150 MB.
+MEMORY_BYTES = 512 * 1024 * 1024
+MAX_CALL_DEPTH = 64  # Maximum depth of nested function calls; a settings file needs only a few levels.
+MAX_CALLS = 10_000  # Maximum number of section calls in one script.
+CALL_ERROR = re.compile(r"gatebank:(\d+):(.*)")  # Finds the text of a `CallError` in a Starlark error.
 STARLARK_POSITION = re.compile(r"--> .*?:(\d+):\d+")
 STARLARK_ERROR = re.compile(r"^error: (.*)$", re.MULTILINE)
 
@@ -28,14 +29,17 @@
 
 
 class UnsupportedValueError(Exception):
-    """A field has a value that JSON can't hold, as a function."""
+    """A field has a value that JSON does not support, for example a function."""
 
     def __str__(self) -> str:
-        return "only numbers, strings, True, False, None, lists and dicts of these can be told"
+        return "a field value must be a number, string, True, False, None, or a list or dict of these"
 
 
 class CallError(Exception):
-    """A call of a section is wrong; Starlark reports only its text, from which `explain` reads the line."""
+    """A section is called incorrectly.
+
+    Starlark reports only the text of this error; `parse_starlark_error` reads the line number from the text.
+    """
 
     def __init__(self, line: int, section: str, reason: str) -> None:
         super().__init__(line, section, reason)
@@ -49,7 +53,7 @@
 
 @dataclass(frozen=True)
 class CallSite:
-    """Where the script calls a section; the line is 0 if that is not known."""
+    """Position of a section call in the script; the line is 0 if the position is unknown."""
 
     section: str
     line: int = 0
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True)
 class SectionNamePosition:
-    """The place of a called name in the script, lines from 1 and columns in bytes."""
+    """Position of a section's name in a call: lines count from 1, columns are byte offsets."""
 
     call: ast.Call
     section: str
@@ -67,7 +71,7 @@
 
 
 def find_section_names(text: str, sections: Sequence[str]) -> list[SectionNamePosition]:
-    """Returns where sections are called, the last first; raises what `ast.parse` raises."""
+    """Return the positions of all section calls, the last call first; raises the errors of `ast.parse`."""
     names = [
         SectionNamePosition(node, node.func.id, node.func.lineno, node.func.col_offset)
         for node in ast.walk(ast.parse(text))
@@ -77,12 +81,14 @@
 
 
 def name_call_sites(text: str, sections: Sequence[str]) -> tuple[str, list[CallSite]]:
-    """Gives each call of a section a name of its own, `section__number`, by which its line is known.
+    """Replace the section name in each call by a unique name, `section__number`, that identifies its line.
 
-    Starlark's grammar is nearly Python's; where it is not, the lines of calls are just not known.
+    The script is parsed as Python, whose grammar is nearly that of Starlark. If the script is not valid
+    Python, the lines of the calls stay unknown.
 
     Returns:
-        The changed script and its call sites by number; the script as it was and none if they are not known.
+        The changed script and its call sites, indexed by number. If the positions of the calls are unknown,
+        the unchanged script and an empty list.
     """
     try:
         names = find_section_names(text, sections)
@@ -90,7 +96,7 @@
         return text, []
     lines = [line.encode() for line in text.split("\n")]
     sites: list[CallSite] = []
-    # From the last to the first, so that the columns of the others stay right.
+    # Replacing from the last call to the first keeps the columns of the remaining calls valid.
     for number, name in enumerate(names):
         line = lines[name.line - 1]
         end = name.column + len(name.section)
@@ -99,35 +105,35 @@
         lines[name.line - 1] = (
             line[: name.column] + call_site_name(name.section, number).encode() + line[end:]
         )
-        field_lines = {each.arg: each.value.lineno for each in name.call.keywords if each.arg}
+        field_lines = {keyword.arg: keyword.value.lineno for keyword in name.call.keywords if keyword.arg}
         sites.append(CallSite(name.section, name.call.lineno, field_lines))
     return b"\n".join(lines).decode(), sites
 
 
 def call_site_name(section: str, number: int) -> str:
-    """Returns the name of one call site."""
+    """Return the unique name that replaces the section name at a call site."""
     return f"{section}__{number}"
 
 
 def to_json_value(value: object) -> JsonValue:
-    """Returns a value of the script as JSON can hold it; raises PlainValueError if it can't."""
+    """Convert a value of the script to a JSON value; raises UnsupportedValueError if that is impossible."""
     if value is None or isinstance(value, str | bool | int | float):
         return value
     if isinstance(value, list | tuple):
-        return [to_json_value(each) for each in value]
+        return [to_json_value(element) for element in value]
     if isinstance(value, dict) and all(isinstance(key, str) for key in value):
-        return {key: to_json_value(each) for key, each in value.items()}
+        return {key: to_json_value(element) for key, element in value.items()}
     raise UnsupportedValueError
 
 
 class CallRecorder:
-    """Notes the calls of sections as the script makes them."""
+    """Records the section calls of a script, in the order in which the script makes them."""
 
     def __init__(self) -> None:
         self.calls: list[dict[str, Any]] = []
 
     def function(self, site: CallSite) -> Callable[..., None]:
-        """Returns the function that the script calls at a call site."""
+        """Return the function that the script calls at a call site."""
 
         def call_section(*positional: object, **fields: object) -> None:
             if positional:
@@ -146,14 +152,14 @@
 
 
 def limit_resources(cpu_seconds: int) -> None:
-    """Limits this process, before Starlark is loaded."""
+    """Limit the processor time and memory of this process; call before Starlark is loaded."""
     resource.setrlimit(resource.RLIMIT_CPU, (cpu_seconds, cpu_seconds + 1))
     resource.setrlimit(resource.RLIMIT_AS, (MEMORY_BYTES, MEMORY_BYTES))
     resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
 
 
 def parse_starlark_error(error_text: str, sections: Sequence[str]) -> dict[str, Any]:
-    """Returns line and reason of a Starlark error, without the numbers of call sites."""
+    """Return the line and the reason of a Starlark error, with original section names."""
     names = "|".join(map(re.escape, sections))
     text = re.sub(rf"\b({names})__\d+", r"\1", error_text)
     if call_error := CALL_ERROR.search(text):
@@ -164,12 +170,12 @@
 
 
 def evaluate(text: str, file_name: str, sections: Sequence[str]) -> dict[str, Any]:
-    """Returns what this program prints of a script."""
-    import starlark  # behind the limits of this process
+    """Evaluate a script and return the JSON object that this program prints."""
+    import starlark  # Imported here because the limits of this process must already apply.
 
     recorder = CallRecorder()
     module = starlark.Module()
-    # Under its own name a section is known too, for calls that `name_call_sites` does not find.
+    # The original section names are defined too, for calls that `name_call_sites` does not find.
     for section in sections:
         module.add_callable(section, recorder.function(CallSite(section)))
     text, sites = name_call_sites(text, sections)
@@ -185,7 +191,7 @@
 
 
 def main() -> None:
-    """Reads the request, evaluates its script and prints the result."""
+    """Read the request, evaluate its script and print the result."""
     request = json.load(sys.stdin)
     limit_resources(max(1, int(request["seconds"])))
     print(json.dumps(evaluate(request["text"], request["file"], request["sections"])))
--- a/gatebank/operator_config/operators_file.py
+++ b/gatebank/operator_config/operators_file.py
@@ -1,4 +1,4 @@
-"""The operators' file, read and checked whole: all errors in it are reported at once, with file and line."""
+"""Reads the operators' file and checks all of it: all errors are reported at once, with file and line."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from gatebank.operator_config.script import run_script
 from gatebank.operator_config.sections import Section, SectionCall, SectionError
 
-# Where sections are declared, each beside the code that it is for.
+# Modules that declare sections. Each module is in the package that its section configures.
 SECTION_MODULES = (
     "gatebank.recording.section",
     "gatebank.replay.section",
     "gatebank.state_transfer.section",
     "gatebank.keys.section",
 )
-MAX_ERRORS = 20  # reported of one file: more than that is one mistake many times
+# Maximum number of errors reported for one file; more errors usually have one common cause.
+MAX_ERRORS = 20
 SectionT = TypeVar("SectionT", bound=Section)
 
 
 class OperatorsFileError(GatebankError):
-    """The file can't be used; its text has a line for each error, `file:line: what`.
+    """The file cannot be used; the message has one line for each error, `file:line: reason`.
 
     Attributes:
-        path: of the file.
-        errors: all of them.
+        path: Path of the file.
+        errors: All errors that were found.
     """
 
     def __init__(self, path: Path, errors: Sequence[SectionError]) -> None:
@@ -46,7 +47,7 @@
 
 
 class SectionWithLine(NamedTuple):
-    """A section and the line of its call."""
+    """A section and the line of its call in the file."""
 
     section: Section
     line: int
@@ -56,9 +57,9 @@
     """All sections of a file.
 
     Attributes:
-        path: of the file.
-        folder: where its relative paths begin.
-        sections: in the file's order.
+        path: Path of the file.
+        folder: Folder of the file; relative paths in the file are resolved against it.
+        sections: Sections in the order of the file.
     """
 
     def __init__(self, path: Path, sections: Sequence[SectionWithLine]) -> None:
@@ -67,26 +68,26 @@
         self.sections = sections
 
     def find_all(self, kind: type[SectionT]) -> list[SectionT]:
-        """Returns all sections of a kind, in the file's order."""
+        """Return all sections of a type, in the order of the file."""
         return [placed.section for placed in self.sections if isinstance(placed.section, kind)]
 
     def find(self, kind: type[SectionT]) -> SectionT | None:
-        """Returns the first section of a kind, None if there is none."""
+        """Return the first section of a type, or None if the file has none."""
         return next(iter(self.find_all(kind)), None)
 
 
 def section_kinds() -> dict[str, type[Section]]:
-    """Returns all kinds of sections by name, importing the modules that declare them."""
+    """Import the modules that declare sections, and return all section types by name."""
     for module in SECTION_MODULES:
         importlib.import_module(module)
     return {name: kind for name, kind in Section.registered.items() if kind.__module__ in SECTION_MODULES}
 
 
 def read_operators_file(path: Path) -> OperatorsFile:
-    """Returns a file's sections.
+    """Read a file, check it and return its sections.
 
     Raises:
-        OperatorsFileError: it can't be read, or anything in it is wrong.
+        OperatorsFileError: The file cannot be read or has errors.
     """
     try:
         text = path.read_text()
@@ -107,13 +108,13 @@
 def build_sections(
     calls: Sequence[SectionCall], kinds: dict[str, type[Section]]
 ) -> tuple[list[SectionWithLine], list[SectionError]]:
-    """Returns the sections of all calls that are right, and the errors of the others."""
+    """Return the sections of all valid calls, and the errors of the other calls."""
     sections: list[SectionWithLine] = []
     errors: list[SectionError] = []
     for call in calls:
         kind = kinds[call.section]
-        if found := kind.find_errors(call):
-            errors += found
+        if call_errors := kind.find_errors(call):
+            errors += call_errors
             continue
         earlier = next((placed for placed in sections if isinstance(placed.section, kind)), None)
         if kind.once and earlier:
--- a/gatebank/operator_config/script.py
+++ b/gatebank/operator_config/script.py
@@ -1,7 +1,7 @@
-"""Runs a Starlark script in a process of its own and returns the sections that it calls.
+"""Runs a Starlark script in a separate process and returns the section calls that it makes.
 
-Starlark has no access to files, clock or network, but nothing in it limits how long a loop runs or how large
-a string grows. A process with limits does, and leaves no evaluator in an instance's memory.
+Starlark has no access to files, clock or network, but it does not limit how long a loop runs or how large
+a string grows. A separate process can be limited, and keeps the evaluator out of the instance's memory.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 
 from gatebank.operator_config.sections import SectionCall, SectionError
 
-# Seconds of processor time: a file of a thousand sections takes 0.1.
+# Limit of processor time in seconds. A file with a thousand sections takes 0.1 s.
 CPU_SECONDS = 2.0
-# Seconds until an answer, on a machine that is busy with other things.
+# Limit of elapsed time in seconds. It is longer than CPU_SECONDS because other processes may use the machine.
 WALL_TIMEOUT = 10.0
 MAX_SCRIPT_BYTES = 1 << 20
-# Status of a process that the system ended for its processor time, at the soft limit or the hard one.
+# Exit statuses of a process that exceeded its limit of processor time, the soft limit or the hard limit.
 CPU_LIMIT_STATUSES = (-signal.SIGXCPU, -signal.SIGKILL)
 CHILD = Path(__file__).with_name("child.py")
 
 
 class ScriptResult(msgspec.Struct):
-    """What `child.py` prints: the calls, or the line and reason of an error."""
+    """Output of `child.py`: the section calls, or the line and the reason (`why`) of an error."""
 
     calls: list[SectionCall] = []
     line: int = 0
@@ -37,16 +37,16 @@
 def run_script(
     text: str, file_name: str, sections: Iterable[str], cpu_seconds: float = CPU_SECONDS
 ) -> list[SectionCall]:
-    r"""Returns the calls of sections that a script makes, in their order.
+    r"""Run a script and return its section calls in order.
 
     Args:
-        text: the script.
-        file_name: for messages.
-        sections: names of all sections.
-        cpu_seconds: processor time that the script may take.
+        text: Text of the script.
+        file_name: Name of the file, used in error messages.
+        sections: Names of all sections.
+        cpu_seconds: Limit of the script's processor time.
 
     Raises:
-        SectionError: the script is wrong, or takes too much time or memory.
+        SectionError: The script has an error, or exceeds a limit of size, time or memory.
 
     >>> [call] = run_script("a = 2\nlamp(\n  watts = a * 20,\n)", "f", ["lamp"])
     >>> call.section, call.fields, call.line, call.field_lines
@@ -69,21 +69,23 @@
 
 
 def run_child(request: bytes, cpu_seconds: float) -> bytes:
-    """Returns what the program of `child.py` prints; raises SectionError if it does not end well."""
+    """Run `child.py` and return its output; raises SectionError if the program fails."""
     command = (sys.executable, "-I", str(CHILD))
     try:
-        done = subprocess.run(command, input=request, capture_output=True, timeout=WALL_TIMEOUT, check=False)
+        completed = subprocess.run(
+            command, input=request, capture_output=True, timeout=WALL_TIMEOUT, check=False
+        )
     except subprocess.TimeoutExpired:
-        raise SectionError(0, f"the script was not done within {WALL_TIMEOUT:g} s") from None
-    if done.returncode in CPU_LIMIT_STATUSES:
+        raise SectionError(0, f"the script did not finish within {WALL_TIMEOUT:g} s") from None
+    if completed.returncode in CPU_LIMIT_STATUSES:
         raise SectionError(0, f"the script took more than {cpu_seconds:g} s of processor time")
-    if done.returncode:
-        raise SectionError(0, failure_text(done))
-    return done.stdout
+    if completed.returncode:
+        raise SectionError(0, failure_text(completed))
+    return completed.stdout
 
 
 def failure_text(done: subprocess.CompletedProcess[bytes]) -> str:
-    """Returns why the process itself failed, by the last line that it wrote."""
+    """Return why the process failed, according to the last line of its standard error."""
     last_line = done.stderr.decode(errors="replace").strip().rpartition("\n")[2]
     if "No module named 'starlark'" in last_line:
         return "it is a Starlark script; install the extra gatebank[operators]"
--- a/gatebank/operator_config/sections.py
+++ b/gatebank/operator_config/sections.py
@@ -1,6 +1,6 @@
-r"""What a section of the operators' file is, and how a call of one is checked. No I/O.
+r"""Base class of the sections of the operators' file, and the checks of a section call. No I/O.
 
-A package declares its section beside its code:
+A package declares its section beside the code that the section configures:
 
 >>> class Lamp(Section, kw_only=True, frozen=True):
 ...     section: ClassVar[str] = "lamp"
@@ -31,15 +31,16 @@
 
 from gatebank.errors import GatebankError
 
-MAX_VALUE_CHARACTERS = 60  # characters of a value in a message, which is one line
+# Maximum length of a value in an error message, which has only one line.
+MAX_VALUE_CHARACTERS = 60
 
 
 class SectionError(GatebankError):
-    """Something wrong in the operators' file.
+    """An error in the operators' file.
 
     Attributes:
-        line: in the file, from 1; 0 where it is of no one line.
-        reason: what is wrong, with section and field.
+        line: Line in the file, counted from 1; 0 if the error has no single line.
+        reason: Description of the error, with section and field.
     """
 
     def __init__(self, line: int, reason: str) -> None:
@@ -52,13 +53,13 @@
 
 
 class SectionCall(msgspec.Struct):
-    """One call of a section in the script, as `child.py` prints it.
+    """One section call in the script, as printed by `child.py`.
 
     Attributes:
-        section: its name.
-        fields: values by the names in the file; plain numbers, strings, lists and maps.
-        line: of the call; 0 if it is not known.
-        field_lines: of fields, as far as they are known.
+        section: Name of the section.
+        fields: Field values by field name; a value consists of numbers, strings, lists and dicts.
+        line: Line of the call; 0 if the line is unknown.
+        field_lines: Lines of the fields by field name; fields whose line is unknown are missing.
     """
 
     section: str
@@ -67,20 +68,21 @@
     field_lines: dict[str, int] = field(default_factory=dict, name="lines")
 
     def line_of(self, name: str) -> int:
-        """Returns the line of a field, or of the call if that is not known."""
+        """Return the line of a field, or the line of the call if the field's line is unknown."""
         return self.field_lines.get(name, self.line)
 
 
 class Section(msgspec.Struct, kw_only=True, frozen=True):
-    """A schema of a section.
+    """Base class of sections: each subclass is the schema of one section.
 
-    A field's type says what is allowed (`msgspec.Meta`), its encoded name is the name in the file, and
-    `check` says which fields do not go together. Subclasses are declared with `kw_only=True, frozen=True`.
+    The type of a field defines the allowed values (`msgspec.Meta`), the field's encoded name is its name in
+    the file, and `check` finds fields that contradict each other. Subclasses are declared with
+    `kw_only=True, frozen=True`.
 
     Attributes:
-        section: its name in the file.
-        once: whether it may be called only once.
-        registered: all sections that have been imported, by name.
+        section: Name of the section in the file.
+        once: Whether a file may call the section only once.
+        registered: All section types that have been imported, by name.
     """
 
     section: ClassVar[str] = ""
@@ -92,17 +94,17 @@
         Section.registered[cls.section] = cls
 
     def check(self) -> Iterator[tuple[str, str]]:
-        """Yields names of fields that do not go together, each with the reason."""
+        """Yield the names of fields that contradict other fields, together with the reason."""
         return iter(())
 
     @classmethod
     def fields(cls) -> dict[str, msgspec.structs.FieldInfo]:
-        """Returns the fields by their names in the file."""
+        """Return the fields of the schema by their names in the file."""
         return {info.encode_name: info for info in msgspec.structs.fields(cls)}
 
     @classmethod
     def find_errors(cls, call: SectionCall) -> list[SectionError]:
-        """Returns all that is wrong with a call: with each field, or else with all of them together."""
+        """Return all errors of a call: errors of single fields, or if there are none, those of `check`."""
         errors = [
             error for name, value in call.fields.items() if (error := cls.field_error(call, name, value))
         ]
@@ -118,12 +120,12 @@
 
     @classmethod
     def field_error(cls, call: SectionCall, name: str, value: object) -> SectionError | None:
-        """Returns what is wrong with one field by itself, None if nothing is."""
+        """Return the error of a single field, or None if the field is valid."""
         fields = cls.fields()
         line = call.line_of(name)
         if name not in fields:
-            close = difflib.get_close_matches(name, fields, 1)
-            guess = f"; did you mean {close[0]!r}?" if close else ";"
+            similar = difflib.get_close_matches(name, fields, 1)
+            guess = f"; did you mean {similar[0]!r}?" if similar else ";"
             names = ", ".join(fields)
             return SectionError(line, f"{cls.section}: {name}: no such field{guess} known are {names}")
         try:
@@ -135,10 +137,10 @@
 
     @classmethod
     def build(cls, call: SectionCall) -> Self:
-        """Returns the section of a call.
+        """Return the section that a call describes.
 
         Raises:
-            SectionError: the first of `find_errors`.
+            SectionError: The call has an error; the first error of `find_errors` is raised.
         """
         if errors := cls.find_errors(call):
             raise errors[0]
@@ -146,7 +148,7 @@
 
 
 def format_value(value: object) -> str:
-    r"""Returns a value as the script would have it, on one line, cut to ``MAX_SHOWN`` characters.
+    r"""Format a value as in a script, on one line, cut to ``MAX_VALUE_CHARACTERS`` characters.
 
     >>> format_value("a\nb"), format_value([True, None]), len(format_value("x" * 1000))
     ('"a\\nb"', '[True, None]', 60)
@@ -162,7 +164,7 @@
 
 
 def readable_error(error: msgspec.ValidationError) -> str:
-    """Returns the text of an error without the mark of the value's root.
+    """Return the text of a validation error without the `$` that msgspec uses for the root of the value.
 
     >>> readable_error(msgspec.ValidationError("Expected `int`, got `str` - at `$[0]`"))
     'Expected `int`, got `str` - at [0]'
@@ -171,7 +173,7 @@
 
 
 def describe_allowed(hint: object) -> str:
-    """Returns what a field of a type may hold, for people.
+    """Describe the values that a field of a type accepts, for use in error messages.
 
     >>> from typing import Annotated, Literal
     >>> describe_allowed(Annotated[int, msgspec.Meta(ge=1, le=9)])
@@ -183,7 +185,7 @@
 
 
 def describe_type(kind: inspect.Type) -> str:
-    """Returns what values of a type are called."""
+    """Describe the values of a type in plain words."""
     match kind:
         case inspect.LiteralType():
             text = " or ".join(map(format_value, kind.values))
@@ -207,6 +209,6 @@
 
 
 def describe_range(kind: inspect.IntType | inspect.FloatType) -> str:
-    """Returns the limits of a number, with a space in front; empty if it has none."""
+    """Describe the limits of a number, with a leading space; empty if the number has no limits."""
     limits = (("from", kind.ge), ("above", kind.gt), ("to", kind.le), ("below", kind.lt))
-    return "".join(f" {word} {limit:g}" for word, limit in limits if limit is not None)
+    return "".join(f" {preposition} {limit:g}" for preposition, limit in limits if limit is not None)
