--- a/gatebank/cli/__init__.py
+++ b/gatebank/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The sub-commands of ``python -m gatebank``, a module each.
+"""The sub-commands of ``python -m gatebank``, one module per command group.
 
-A module of commands only declares options. What a command needs to run is imported when it runs: ``serve``
-loads none of it, and a command whose optional libraries are missing does not stop the others.
+A command module only declares commands and options. A command imports the modules that it needs when it runs,
+so ``serve`` does not load them, and a missing optional library affects only the commands that need it.
 """
--- a/gatebank/cli/capture/__init__.py
+++ b/gatebank/cli/capture/__init__.py
@@ -1,4 +1,5 @@
 """``gatebank capture``: shows, checks, cuts, compares and replays recorded traffic.
 
-``commands`` declares the commands and ``options`` what they share; each other module does the work of one.
+``commands`` declares the commands, ``options`` has the options that they share, and ``source`` reads the
+captures. The other modules carry out the commands.
 """
--- a/gatebank/cli/capture/check.py
+++ b/gatebank/cli/capture/check.py
@@ -1,4 +1,4 @@
-"""``gatebank capture check``: what a capture holds, and what of it could not be read."""
+"""``gatebank capture check``: counts the contents of a capture and the parts that could not be read."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from gatebank.cli.capture.source import CaptureSource
 from gatebank.cli.terminal import INCOMPLETE_STATUS, end_cleanly
 
-Counts = Mapping[str, int | str]  # by name; why the reading ended early, if it did, is a text
+Counts = Mapping[str, int | str]  # Counts by name; the reason why the reading ended early is a string.
 
 
 def run(source: CaptureSource, as_json: bool) -> None:
@@ -37,7 +37,7 @@
 
 
 def count(source: CaptureSource) -> Counts:
-    """Return the reading's own counts, and the exchanges by side and result."""
+    """Read all files and return the counts of the reader, and the number of exchanges by side and result."""
     results: Counter[str] = Counter()
     for exchange in source.exchanges():
         results[f"{exchange.side}_{exchange.ended}"] += 1
@@ -47,14 +47,14 @@
 
 def print_json(counts: Counts, trouble: Counts, incomplete: list[str]) -> None:
     """Print one JSON object."""
-    found: dict[str, object] = dict(trouble)
+    problems: dict[str, object] = dict(trouble)
     if incomplete:
-        found["spoilt"] = incomplete
-    sys.stdout.buffer.write(orjson.dumps({"counts": counts, "trouble": found}) + b"\n")
+        problems["spoilt"] = incomplete
+    sys.stdout.buffer.write(orjson.dumps({"counts": counts, "trouble": problems}) + b"\n")
 
 
 def print_text(counts: Counts, trouble: Collection[str], source: CaptureSource) -> None:
-    """Print the counts that are not zero, with a mark at what could not be read."""
+    """Print the counts that are not zero, and mark counts of data that could not be read."""
     print_time_span(source.reading)
     for name, number in counts.items():
         if number and name != "spoilt":
@@ -67,7 +67,7 @@
 
 
 def print_time_span(reading: CaptureReader) -> None:
-    """Print when the first and the last packet were recorded, if there are any."""
+    """Print the times of the first and the last packet, if the capture has packets."""
     first = reading.first_at
     last = reading.last_at
     if first:
--- a/gatebank/cli/capture/commands.py
+++ b/gatebank/cli/capture/commands.py
@@ -1,6 +1,6 @@
-"""The command line of ``gatebank capture``; the work of each command is in a module of its name."""
+"""The commands of ``gatebank capture``; each command is implemented in the module of the same name."""
 
-# A command imports what it needs when it runs, see gatebank/cli/__init__.py
+# A command imports the modules that it needs when it runs; gatebank/cli/__init__.py has the reasons.
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from gatebank.cli.options import AsJson, command
 from gatebank.cli.terminal import fail
 
-REQUIRED_LIBRARIES = ("dpkt", "hdrh", "msgspec", "starlark")  # of the extra gatebank[capture]
+REQUIRED_LIBRARIES = ("dpkt", "hdrh", "msgspec", "starlark")  # Installed by the extra gatebank[capture].
 
 app = typer.Typer(
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="Show, check, cut, compare and replay recorded traffic. It records nothing itself.",
+    help="Show, check, cut, compare and replay recorded traffic. These commands record nothing.",
 )
 
 
 @app.callback()
 def require_libraries() -> None:
-    """End with status 2 if the libraries of this group, which the service does without, are missing."""
+    """End with status 2 if libraries of this command group are missing; the service does not need them."""
     missing = [library for library in REQUIRED_LIBRARIES if importlib.util.find_spec(library) is None]
     if missing:
         fail(f"capture needs the extra gatebank[capture]; missing: {', '.join(missing)}")
@@ -53,7 +53,7 @@
         Path | None, typer.Option(help="Write a Parquet file instead of printing rows.")
     ] = None,
 ) -> None:
-    """Print the exchanges of a capture: one line for each request and its reply."""
+    """Print the exchanges of a capture, one line per request and its reply."""
     from gatebank.cli.capture import show, source
 
     selection = source.build_filter(filters, times.begin, times.end)
@@ -68,7 +68,10 @@
     limits: ReadingLimitOptions,
     as_json: AsJson = False,
 ) -> None:
-    """Count what a capture holds, and what could not be read and why; status 1 if there is any of that."""
+    """Count the contents of a capture, and the parts that could not be read.
+
+    The exit status is 1 if any part could not be read.
+    """
     from gatebank.cli.capture import check, source
 
     check.run(source.CaptureSource(files, servers, limits), as_json)
@@ -94,12 +97,12 @@
 @command(app)
 def compare(
     a: Annotated[Path, typer.Argument(help="A capture file.")],
-    b: Annotated[Path, typer.Argument(help="The capture file that it is compared with.")],
+    b: Annotated[Path, typer.Argument(help="The capture file to compare it with.")],
     *,
     filters: CommonFilterOptions,
     as_json: AsJson = False,
 ) -> None:
-    """Match the exchanges of two captures: results that differ, exchanges in one only, and latencies."""
+    """Match the exchanges of two captures, and print differing results, unmatched exchanges and latencies."""
     from gatebank.cli.capture import compare, source
 
     compare.run(source.CaptureSource([a]), source.CaptureSource([b]), source.build_filter(filters), as_json)
@@ -121,8 +124,8 @@
 ) -> None:
     """Send recorded requests again.
 
-    Idempotent requests go to any target that the operators' file names; all others go once, and only to a
-    rehearsal target.
+    Idempotent requests may be sent to any target in the operators' file. Other requests are sent only once,
+    and only to a rehearsal target.
     """
     from gatebank.cli.capture import replay, source
 
@@ -135,7 +138,7 @@
     folder: Annotated[Path, typer.Argument(help="The ledger folder of a replay.")],
     as_json: AsJson = False,
 ) -> None:
-    """Print what a replay's ledger holds: how many requests were replayed, and which have no known result."""
+    """Print the number of requests in a replay's ledger, and the requests whose result is unknown."""
     from gatebank.cli.capture import ledger
 
     ledger.run(folder, as_json)
--- a/gatebank/cli/capture/compare.py
+++ b/gatebank/cli/capture/compare.py
@@ -1,4 +1,4 @@
-"""``gatebank capture compare``: what two captures of the same requests have in common, and what differs."""
+"""``gatebank capture compare``: compares the results and latencies of two captures of the same requests."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
 from gatebank.cli.capture.source import CaptureSource
 from gatebank.cli.terminal import end_cleanly, warn_all
 
-SHOWN_EXAMPLES = 20  # of exchanges that differ, for people; --json has all that were kept
+# Maximum number of differing exchanges in the text output; --json prints all examples that were kept.
+SHOWN_EXAMPLES = 20
 Quantiles = Mapping[str, float]
 
 
 def run(a: CaptureSource, b: CaptureSource, selection: ExchangeFilter, as_json: bool) -> None:
-    """Read both captures, match their exchanges and print what was found.
+    """Read both captures, match their exchanges and print the comparison.
 
     Raises:
         CommandLineError: A file cannot be read.
@@ -37,7 +38,7 @@
 
 
 def count(comparison: Comparison) -> dict[str, int]:
-    """Return how many exchanges were matched, are in one capture only, and ended differently."""
+    """Return the numbers of matched exchanges, unmatched exchanges and exchanges with differing results."""
     return {
         "matched": comparison.matched,
         "only_a": comparison.only_a,
@@ -47,7 +48,7 @@
 
 
 def latency_quantiles(comparison: Comparison) -> dict[str, Quantiles]:
-    """Return the percentiles of all latencies, and of those that differ, in ms."""
+    """Return the percentiles in ms of all latencies, and of the differences between matched latencies."""
     return {
         "a": percentiles(comparison.latency_a),
         "b": percentiles(comparison.latency_b),
@@ -68,7 +69,7 @@
 
 
 def print_text(comparison: Comparison) -> None:
-    """Print counts, changes of results, some examples of them, and latencies."""
+    """Print the counts, the changed results with some examples, and the latencies."""
     for name, number in count(comparison).items():
         print(f"{number:>10} {name.replace('_', ' ')}")
     for (before, after), number in comparison.changes.most_common():
@@ -80,7 +81,7 @@
 
 
 def quantile_line(name: str, values: Quantiles) -> str:
-    """Return a line for people about some percentiles in ms.
+    """Format percentiles in ms as a line of text.
 
     >>> quantile_line("a", {"p50": 1.0, "p99": 2.5}), quantile_line("b", {})
     ('         a ms: p50 1.000 p99 2.500', '         b ms: none')
--- a/gatebank/cli/capture/cut.py
+++ b/gatebank/cli/capture/cut.py
@@ -1,6 +1,6 @@
-"""``gatebank capture cut``: copies the packets of the chosen exchanges to a file of their own.
+"""``gatebank capture cut``: copies the packets of the chosen exchanges to a new file.
 
-The capture is read twice: first to learn which packets the chosen exchanges have, then to copy them.
+The capture is read twice: first to determine the packets of the chosen exchanges, then to copy these packets.
 """
 
 from __future__ import annotations
@@ -17,12 +17,14 @@
 from gatebank.cli.capture.source import CaptureSource
 from gatebank.cli.terminal import CommandLineError, end_cleanly, warn_all
 
-MAX_EXCHANGES = 1_000_000  # that a cut may choose: each takes some 200 bytes of memory
-INTERFACE_NAMES = {"customer": "customers", "node": "nodes"}  # by the side that packets were recorded at
+# Maximum number of exchanges in a cut. Each exchange takes about 200 bytes of memory.
+MAX_EXCHANGES = 1_000_000
+# Names of capture interfaces, by the side at which their packets were recorded.
+INTERFACE_NAMES = {"customer": "customers", "node": "nodes"}
 
 
 class PacketSpan(NamedTuple):
-    """The packets of one exchange, by their numbers in the capture, both included."""
+    """Range of packet numbers in the capture that contains one exchange; both ends are included."""
 
     first: int
     last: int
@@ -33,8 +35,9 @@
     """The packets of the chosen exchanges.
 
     Attributes:
-        exchanges: How many exchanges were chosen.
-        spans: Their packets by the number of their connection, each one's last exchange first.
+        exchanges: Number of chosen exchanges.
+        spans: Packet ranges of the exchanges by connection number. Within a connection, the last exchange
+            comes first.
     """
 
     exchanges: int = 0
@@ -47,15 +50,16 @@
     Args:
         source: The capture.
         selection: Which exchanges are chosen.
-        out: The file to write; it appears once it is complete.
-        whole_streams: Keep all packets of the connections that the exchanges are on.
+        out: The file to write; the file appears only when it is complete.
+        whole_streams: Whether to copy all packets of the connections that have chosen exchanges.
 
     Raises:
-        CommandLineError: The capture cannot be read twice, the file cannot be written, or too much is chosen.
+        CommandLineError: The capture cannot be read twice, the file cannot be written, or more than
+            MAX_EXCHANGES exchanges are chosen.
     """
     source.require_files()
     if out.exists() and out.samefile(source.files[0]):
-        raise CommandLineError("a file can't be cut into itself", out)
+        raise CommandLineError("a capture cannot be cut into itself", out)
     chosen = ChosenPackets()
     with end_cleanly(lambda: f"{chosen.exchanges} exchanges"):
         find_packets(source, selection, chosen)
@@ -65,10 +69,10 @@
 
 
 def find_packets(source: CaptureSource, selection: ExchangeFilter, chosen: ChosenPackets) -> None:
-    """Read the capture once and add the packets of each chosen exchange to ``chosen``.
+    """Read the capture once and add the packet range of each chosen exchange to ``chosen``.
 
     Raises:
-        CommandLineError: More than MAX_EXCHANGES are chosen.
+        CommandLineError: More than MAX_EXCHANGES exchanges are chosen.
     """
     for exchange in source.exchanges():
         if not selection(exchange):
@@ -79,15 +83,15 @@
         span = PacketSpan(exchange.first_packet, exchange.last_packet)
         chosen.spans.setdefault(exchange.connection, []).append(span)
     for spans in chosen.spans.values():
-        spans.sort(reverse=True)  # so that the second pass can pop what it has passed
+        spans.sort(reverse=True)  # The second reading removes finished spans from the end of the list.
 
 
 def is_in_span(spans: list[PacketSpan], number: int) -> bool:
-    """Tell whether a packet belongs to one of the exchanges; spans that end before it are removed.
+    """Return whether a packet is within one of the spans; spans that end before the packet are removed.
 
     Args:
-        spans: One stream's, the last exchange first.
-        number: The packet's; must not decrease from call to call.
+        spans: Spans of one connection, the last exchange first.
+        number: Number of the packet; must not decrease from call to call.
     """
     while spans and spans[-1].last < number:
         spans.pop()
@@ -95,7 +99,7 @@
 
 
 def copy_packets(source: CaptureSource, out: Path, chosen: ChosenPackets, whole_streams: bool) -> int:
-    """Write the chosen packets to ``out`` and return their number.
+    """Copy the chosen packets to ``out`` and return their number.
 
     Raises:
         CommandLineError: The file cannot be written.
@@ -118,15 +122,18 @@
 def read_chosen_packets(
     source: CaptureSource, chosen: ChosenPackets, whole_streams: bool
 ) -> Iterator[Packet]:
-    """Yield the chosen packets of a second reading, which numbers connections as the first one did."""
+    """Read the capture again and yield the chosen packets.
+
+    Both readings assign the same numbers to connections and packets.
+    """
     reading = source.new_reading()
-    for _, piece in source.read_chunks(progress=True):
-        for packet in reading.packets.feed(piece or b""):
+    for _, chunk in source.read_chunks(progress=True):
+        for packet in reading.packets.feed(chunk or b""):
             connection = reading.add_packet(packet)
             reading.exchanges.reported.clear()
             if connection is None or connection.number not in chosen.spans:
                 continue
-            # How a connection begins and ends is part of what its exchanges mean.
+            # Packets that open or close a connection are always copied: they affect the results of exchanges.
             marks_end = reading.segment and reading.segment.flags & (SYN | FIN | RST)
             spans = chosen.spans[connection.number]
             if whole_streams or marks_end or is_in_span(spans, reading.packets.packet_count):
@@ -134,21 +141,23 @@
 
 
 class PacketCopy:
-    """Writes packets to a pcapng file, with an interface for each link type and side.
+    """Writes packets to a pcapng file with one interface per link type and side.
 
     Attributes:
-        written: The number of packets written.
+        file: The open file.
+        written: Number of packets that were written.
+        interfaces: Interface numbers by link type and side.
     """
 
     def __init__(self, file: BinaryIO) -> None:
-        """Begin the file with its section header."""
+        """Write the section header of the file."""
         self.file = file
         self.written = 0
         self.interfaces: dict[tuple[int, str | None], int] = {}
         file.write(writing.section_block("cut"))
 
     def write(self, packet: Packet) -> None:
-        """Write a packet, and its interface before it where it is the first of one."""
+        """Write a packet, preceded by the description of its interface if the interface is new."""
         key = (packet.link, packet.side)
         if key not in self.interfaces:
             self.interfaces[key] = len(self.interfaces)
@@ -159,6 +168,6 @@
         self.written += 1
 
     def finish(self) -> None:
-        """Give a file without packets the interface that every capture file needs."""
+        """Add an interface to a file without packets, because every capture file needs one."""
         if not self.interfaces:
             self.file.write(writing.interface_block("", LINK_RAW))
--- a/gatebank/cli/capture/ledger.py
+++ b/gatebank/cli/capture/ledger.py
@@ -1,4 +1,4 @@
-"""``gatebank capture ledger``: what a replay's ledger holds."""
+"""``gatebank capture ledger``: prints the contents of a replay's ledger."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from gatebank.replay.errors import ReplayError
 from gatebank.replay.ledger import Ledger
 
-SHOWN_ENTRIES = 50  # with no known result, for people; --json lists all
+# Maximum number of entries without a known result in the text output; --json lists all of them.
+SHOWN_ENTRIES = 50
 
 
 def run(folder: Path, as_json: bool) -> None:
-    """Print the entries by result, and those whose result is not known.
+    """Print the number of entries by result, and the entries whose result is unknown.
 
     Raises:
-        CommandLineError: There is no ledger, or it cannot be read.
+        CommandLineError: The folder has no ledger, or the ledger cannot be read.
     """
     ledger = read_ledger(folder)
     entries = ledger.book.entries.values()
@@ -43,14 +44,14 @@
 
 
 def read_ledger(folder: Path) -> Ledger:
-    """Open the ledger in a folder, which holds it until it is closed.
+    """Open the ledger in a folder; the ledger stays locked until the caller closes it.
 
     Raises:
-        CommandLineError: There is none, or it cannot be read.
+        CommandLineError: The folder has no ledger, or the ledger cannot be read.
     """
     ledger = Ledger(folder)
     if not ledger.path.exists():
-        raise CommandLineError("no ledger is there", folder)
+        raise CommandLineError("the folder has no ledger", folder)
     try:
         ledger.open()
     except ReplayError as error:
--- a/gatebank/cli/capture/options.py
+++ b/gatebank/cli/capture/options.py
@@ -1,7 +1,7 @@
-"""Groups of options that the ``capture`` commands share.
+"""Option groups that the ``capture`` commands share.
 
-The options keep their first spelling, which scripts use: ``--customer`` is a tenant, ``--workload`` a request
-class, ``--node`` an endpoint and ``--marshal`` an instance.
+The options keep their original names because scripts use them: ``--customer`` is a tenant, ``--workload`` a
+request class, ``--node`` an endpoint and ``--marshal`` an instance.
 """
 
 from __future__ import annotations
@@ -13,28 +13,28 @@
 import typer
 
 CaptureFiles = Annotated[
-    list[Path], typer.Argument(help="Capture files, in the order of their packets; - is standard input.")
+    list[Path], typer.Argument(help="Capture files in chronological order; - is standard input.")
 ]
 CaptureFile = Annotated[Path, typer.Argument(help="A capture file.")]
 
 
 @dataclass(frozen=True)
 class CommonFilterOptions:
-    """Which exchanges are chosen, by what every command can choose by."""
+    """Filters of exchanges that every command supports."""
 
     workload: Annotated[
-        list[str] | None, typer.Option(help="Only this request class; may be repeated, as all filters may.")
+        list[str] | None, typer.Option(help="Only this request class. All filters may be repeated.")
     ] = None
     customer: Annotated[list[str] | None, typer.Option(help="Only this tenant.")] = None
     side: Annotated[
         list[str] | None,
-        typer.Option(help="Only what was recorded towards clients (customer) or endpoints (node)."),
+        typer.Option(help="Only exchanges with clients (customer) or with endpoints (node)."),
     ] = None
 
 
 @dataclass(frozen=True)
 class FilterOptions(CommonFilterOptions):
-    """Which exchanges are chosen, by all but their time."""
+    """All filters of exchanges except the time range."""
 
     key: Annotated[list[str] | None, typer.Option(help="Only this key.")] = None
     id_: Annotated[list[str] | None, typer.Option("--id", help="Only this request id.")] = None
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class TimeRangeOptions:
-    """From when to when requests are chosen."""
+    """Time range of the chosen requests."""
 
     begin: Annotated[
         str | None,
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class ServerOptions:
-    """Which servers are what, where a capture does not say it."""
+    """Roles of servers, for captures that do not contain this information."""
 
     endpoints: Annotated[
         list[str] | None, typer.Option("--node", help="The server at this address:port is an endpoint.")
@@ -71,44 +71,50 @@
 
 @dataclass(frozen=True)
 class ReadingLimitOptions:
-    """How much a reading may hold in memory."""
+    """Limits on the memory that a reading uses."""
 
     max_connections: Annotated[
-        int, typer.Option("--most-streams", min=1, help="Connections followed at once.")
+        int, typer.Option("--most-streams", min=1, help="Maximum number of connections tracked at once.")
     ] = 10_000
     max_gap_bytes: Annotated[
-        int, typer.Option("--most-gap", min=1024, help="Bytes kept while a segment before them is missing.")
+        int,
+        typer.Option(
+            "--most-gap", min=1024, help="Maximum bytes buffered while an earlier segment is missing."
+        ),
     ] = 1 << 20
     idle_timeout: Annotated[
-        float, typer.Option("--idle", min=1, help="Seconds after which a silent connection is given up.")
+        float, typer.Option("--idle", min=1, help="Seconds without packets until a connection is dropped.")
     ] = 300.0
     max_message_bytes: Annotated[
-        int, typer.Option("--most-message", min=1024, help="Bytes of one command or reply.")
+        int, typer.Option("--most-message", min=1024, help="Maximum bytes of one command or reply.")
     ] = 8 << 20
 
 
 @dataclass(frozen=True)
 class ReplayOptions:
-    """Where a replay sends to, and how it is paced."""
+    """Target, speed and limits of a replay."""
 
     to: Annotated[str | None, typer.Option(help="Send to the running instance at this address:port.")] = None
     inside: Annotated[
         Path | None,
-        typer.Option(help="Run an instance with this configuration in this process, and send through it."),
+        typer.Option(help="Run an instance with this configuration in this process, and send to it."),
     ] = None
     orders: Annotated[
         Path | None, typer.Option(help="The operators' file, which names the permitted targets.")
     ] = None
     ledger: Annotated[
-        Path | None, typer.Option(help="The folder in which a record of what was sent is kept.")
+        Path | None, typer.Option(help="The folder of the ledger, which records the requests that were sent.")
     ] = None
     pace: Annotated[float, typer.Option(help="Speed: 2 is twice as fast as recorded.")] = 1.0
     lines: Annotated[
-        str, typer.Option(help="Connections: as recorded (recorded), or from a pool (pooled).")
+        str,
+        typer.Option(help="Use the same connections as recorded (recorded), or a connection pool (pooled)."),
     ] = "recorded"
-    most_lines: Annotated[int, typer.Option(min=1, max=50_000, help="Connections open at once.")] = 512
+    most_lines: Annotated[
+        int, typer.Option(min=1, max=50_000, help="Maximum number of open connections.")
+    ] = 512
     most_in_hand: Annotated[
-        int, typer.Option(min=1, help="Requests in flight at once; those beyond it are not sent.")
+        int, typer.Option(min=1, help="Maximum number of requests in flight; requests above it are not sent.")
     ] = 1024
     patient: Annotated[
         bool, typer.Option(help="Send a rejected idempotent request again after the Retry-After time.")
--- a/gatebank/cli/capture/replay.py
+++ b/gatebank/cli/capture/replay.py
@@ -1,8 +1,8 @@
-"""``gatebank capture replay``: checks everything before anything is sent, then plays the capture.
+"""``gatebank capture replay``: checks options, target and capture before it sends any request, then replays.
 
-The capture is read twice. The first reading, the survey, shows which servers were live and what is chosen,
-so that the guard can refuse the target. ``replay_session`` reads it again and plays it, ``replay_output``
-prints.
+The capture is read twice. The first reading, the survey, collects the live servers and the number of chosen
+exchanges, so that the guard can refuse the target. ``replay_session`` reads the capture again and sends the
+requests; ``replay_output`` prints the report.
 """
 
 from __future__ import annotations
@@ -44,19 +44,20 @@
 MIN_PACE = 0.001
 MAX_PACE = 1e6
 CONNECTION_MODES = ("recorded", "pooled")
-MAX_LIVE_SERVERS = 1_000_000  # remembered of a capture, some 100 bytes each
-CLIENT_SIDE = "customer"  # as captures name the side at which requests come in
+# Maximum number of server addresses to remember from a capture. Each takes about 100 bytes.
+MAX_LIVE_SERVERS = 1_000_000
+CLIENT_SIDE = "customer"  # Name in captures of the side at which an instance receives requests.
 
 
 @dataclass(slots=True)
 class Survey:
-    """What the first reading of a capture shows.
+    """Results of the first reading of a capture.
 
     Attributes:
-        live: Addresses that the capture shows in service, as servers.
-        exchanges: How many are chosen.
-        not_idempotent: How many of those may not run twice.
-        client_side: How many of those were recorded towards clients.
+        live: Addresses of the servers in the capture, which count as being in service.
+        exchanges: Number of chosen exchanges.
+        not_idempotent: Number of chosen exchanges whose request must not be executed twice.
+        client_side: Number of chosen exchanges that were recorded between clients and an instance.
     """
 
     live: set[str] = field(default_factory=set)
@@ -67,11 +68,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplayTarget:
-    """Where requests are sent to.
+    """The target of a replay.
 
     Attributes:
-        address: The instance's; for a replay in this process, its discovery's.
-        configuration: Of the instance that runs in this process, if one does.
+        address: Address of the target instance; for an instance in this process, that of its discovery.
+        configuration: Configuration of the instance in this process; None if the target runs elsewhere.
     """
 
     address: Address
@@ -79,11 +80,12 @@
 
 
 def run(source: CaptureSource, selection: ExchangeFilter, options: ReplayOptions, as_json: bool) -> None:
-    """Send the chosen requests again and print what became of them.
+    """Send the chosen requests again and print a report of their results.
 
     Raises:
-        CommandLineError: Something is wrong with the options or files, or the guard refuses the target.
-        typer.Exit: Status 1 if not all went well, 130 after an interrupt.
+        CommandLineError: An option or file is invalid, or the guard refuses the target.
+        typer.Exit: With status 1 if the replay was incomplete or had errors, 130 after an interrupt, 2 if the
+            operators' file is faulty.
     """
     log.configure_logging("warning")
     source.require_files()
@@ -96,13 +98,13 @@
     rehearsal = guard.target is not None and guard.target.rehearsal
     if ledger is None and survey.not_idempotent and rehearsal:
         raise CommandLineError(
-            f"{survey.not_idempotent} exclusive or ticketed invocations are chosen; they need --ledger FOLDER"
+            f"{survey.not_idempotent} exclusive or ticketed requests are chosen; they need --ledger FOLDER"
         )
     unsure_before = 0 if ledger is None else len(ledger.book.unsure_entries())
     plan = ReplayPlan(
         source=source,
         selection=selection,
-        # A capture of both sides has each request twice: what clients sent is what is played.
+        # A capture of both sides contains each request twice: only the client side is replayed then.
         side=CLIENT_SIDE if selection.side is None and survey.client_side else None,
         options=options,
         guard=guard,
@@ -118,11 +120,11 @@
 
 
 def check_options(options: ReplayOptions) -> None:
-    """Raise CommandLineError if options are missing, exclude each other, or have impossible values."""
+    """Raise CommandLineError if options are missing, exclude each other, or have invalid values."""
     if (options.to is None) == (options.inside is None):
         raise CommandLineError("one of --to and --inside is needed")
     if options.orders is None:
-        raise CommandLineError("--orders is needed: the operators' file names what may be sent to")
+        raise CommandLineError("--orders is needed: the operators' file names the permitted targets")
     if not MIN_PACE <= options.pace <= MAX_PACE:
         raise CommandLineError(f"{options.pace} is not between 0.001 and 1000000", "--pace")
     if options.lines not in CONNECTION_MODES:
@@ -132,10 +134,10 @@
 
 
 def read_permitted_targets(options: ReplayOptions) -> list[Target]:
-    """Return the targets that the operators' file names.
+    """Return the targets that the operators' file permits.
 
     Raises:
-        typer.Exit: Status 2 if the file is faulty; standard error has a line for each fault.
+        typer.Exit: With status 2 if the file is faulty; standard error has one line per error.
     """
     assert options.orders is not None
     try:
@@ -146,10 +148,10 @@
 
 
 def resolve_target(options: ReplayOptions) -> ReplayTarget:
-    """Return where the options say that requests go.
+    """Return the target that the options name.
 
     Raises:
-        CommandLineError: An address or configuration is wrong, or the configuration names no discovery.
+        CommandLineError: An address or configuration is invalid, or the configuration has no discovery.
     """
     try:
         if options.to:
@@ -159,15 +161,15 @@
     except ConfigurationError as error:
         raise CommandLineError(error) from error
     if configuration.discovery is None:
-        raise CommandLineError("it names no discovery", options.inside)
+        raise CommandLineError("the configuration has no discovery", options.inside)
     return ReplayTarget(configuration.discovery, configuration)
 
 
 def survey_capture(source: CaptureSource, selection: ExchangeFilter) -> Survey:
-    """Read the whole capture once.
+    """Read the whole capture once and return the survey.
 
     Raises:
-        typer.Exit: Status 130 after an interrupt.
+        typer.Exit: With status 130 after an interrupt.
     """
     survey = Survey()
     try:
@@ -188,7 +190,7 @@
 def open_guard(
     targets: Collection[Target], target: ReplayTarget, survey: Survey, ledger: Ledger | None
 ) -> Guard:
-    """Return the guard that decides which requests may be sent, and open the ledger if there is one.
+    """Create the guard that decides which requests may be sent, and open the ledger if there is one.
 
     Raises:
         CommandLineError: The target is refused, or the ledger cannot be read.
--- a/gatebank/cli/capture/replay_output.py
+++ b/gatebank/cli/capture/replay_output.py
@@ -1,4 +1,4 @@
-"""Prints the report of a replay, and makes its exit status."""
+"""Prints the report of a replay and determines the exit status."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 from gatebank.cli.terminal import INCOMPLETE_STATUS, INTERRUPTED_STATUS, warn
 from gatebank.replay import report as replay_report
 
-MAX_LISTED = 50  # requests named to people that were withheld or have no known result; --json has more
-ALWAYS_SHOWN = ("read", "offered")  # also where they are zero
+# Maximum number of requests listed in the text output because they were withheld or have no known result;
+# --json lists more.
+MAX_LISTED = 50
+ALWAYS_SHOWN = ("read", "offered")  # Counts that are printed even if they are zero.
 REASONS = {"withheld": "withheld_why", "not_offered": "not_offered_why"}
 OTHER_COUNTS = ("left_out_other_side", "not_whole", "out_of_order", "asked_again", "left_unsure_before")
 LATENCIES = ("latency_ms", "late_ms")
 ERRORS = ("reader_trouble", "ledger_trouble")
-Report = Mapping[str, Any]  # by the names that --json prints
+Report = Mapping[str, Any]  # Report entries by their names in the --json output.
 
 
 def print_report(report: Report, as_json: bool) -> None:
-    """Print the report, then say on standard error what went wrong.
+    """Print the report, and the errors of the replay on standard error.
 
     Raises:
-        typer.Exit: Status 130 after an interrupt, 1 if the replay ended early otherwise, if a request has no
-            known result, or if the capture or the ledger had an error.
+        typer.Exit: With status 130 after an interrupt; with status 1 if the replay ended early for another
+            reason, a request has no known result, or the capture or the ledger had an error.
     """
     if as_json:
         sys.stdout.buffer.write(orjson.dumps(report) + b"\n")
@@ -49,7 +51,7 @@
 
 
 def print_counts(report: Report) -> None:
-    """Print what became of the requests, why some were not sent, and what was left out."""
+    """Print the counts of requests by result, the reasons why requests were not sent, and other counts."""
     for name in replay_report.ENDS:
         if report[name] or name in ALWAYS_SHOWN:
             print_count(report[name], name)
@@ -62,12 +64,12 @@
 
 
 def print_count(number: int, name: str) -> None:
-    """Print one line of the table."""
+    """Print a count and its name as one line of the table."""
     print(f"{number:>10} {name.replace('_', ' ')}")
 
 
 def print_listed(rows: list[dict[str, Any]]) -> None:
-    """Print a line for each request that was withheld or has no known result, up to MAX_LISTED."""
+    """Print one line per request that was withheld or has no known result, up to MAX_LISTED lines."""
     for row in rows[:MAX_LISTED]:
         request = " ".join(printable(row[name], 40) for name in ("effects", "workload", "key", "id"))
         print(f"{row['what']} ({row['why'].replace('_', ' ')}): {request}")
--- a/gatebank/cli/capture/replay_session.py
+++ b/gatebank/cli/capture/replay_session.py
@@ -1,4 +1,4 @@
-"""Plays a capture to its target: a thread reads ahead, the event loop sends each request when it is due."""
+"""Replays a capture to its target: a thread reads ahead, the event loop sends each request when it is due."""
 
 from __future__ import annotations
 
@@ -23,30 +23,35 @@
 from gatebank.replay.player import Player, PlayerOptions
 from gatebank.replay.schedule import AskingOrder
 
-MAX_QUEUED = 4096  # exchanges read ahead of what is due
-MAX_REORDERED_BYTES = 64 << 20  # of exchanges that wait for their turn in the order of their requests
-REORDER_HORIZON = 121.0  # s of the capture: no exchange is read later than this after its request
-READER_SWITCH_INTERVAL = 0.0005  # s that the reader may hold the interpreter while a request is due
-QUEUE_TIMEOUT = 0.2  # s after which a reader with a full queue looks whether it is to stop
-PROGRESS_INTERVAL = 0.25  # s
+MAX_QUEUED = 4096  # Maximum number of exchanges that the reader queues ahead of time.
+# Maximum memory of the exchanges that wait to be sorted by the time of their requests.
+MAX_REORDERED_BYTES = 64 << 20
+# Seconds of the capture's time after a request within which the capture reader reports its exchange.
+REORDER_HORIZON = 121.0
+# Seconds for which the reader thread may hold the interpreter lock while a request is due.
+READER_SWITCH_INTERVAL = 0.0005
+# Interval in seconds at which a reader that waits for room in the queue checks whether to stop.
+QUEUE_TIMEOUT = 0.2
+# Interval in seconds between updates of the progress bar.
+PROGRESS_INTERVAL = 0.25
 RUN_ID_BYTES = 16
 
 
 @dataclass(frozen=True, slots=True)
 class ReplayPlan:
-    """What is played, to where, and how; all of it has been checked.
+    """Checked input of a replay: the capture, the target and the options.
 
     Attributes:
         source: The capture.
-        selection: Which of its exchanges are played.
-        side: The side whose requests are played; None for all that are chosen.
-        options: What the user asked for.
+        selection: Filter of the exchanges to replay.
+        side: The side whose requests are replayed; None replays all chosen exchanges.
+        options: The options of the command line.
         guard: Decides which requests may be sent.
-        ledger: Keeps what was sent; open.
-        address: Where requests go; for an instance in this process, its discovery.
-        configuration: Of the instance that runs in this process, if one does.
-        live: Addresses that the capture shows in service.
-        exchanges: How many are chosen, for the progress bar.
+        ledger: The open ledger that records the requests that were sent; None if there is no ledger.
+        address: Address of the target instance; for an instance in this process, that of its discovery.
+        configuration: Configuration of the instance in this process; None if the target runs elsewhere.
+        live: Addresses of the servers that the capture shows in service.
+        exchanges: Number of chosen exchanges, for the progress bar.
     """
 
     source: CaptureSource
@@ -62,18 +67,22 @@
 
 
 class ReaderThread(threading.Thread):
-    """Reads the capture ahead of what is due and queues its exchanges in the order of their requests.
+    """Reads the capture ahead of time and queues its exchanges in the order of their requests.
 
     Attributes:
-        queue: The exchanges; None is the end.
-        stopping: Set by the event loop once nothing more is wanted.
-        error: Why the reading ended early; empty if it did not.
-        other_side: How many were left out because their requests are played from the other side.
-        without_request: How many were left out because their request was not captured.
+        source: The capture.
+        selection: Filter of the exchanges to replay.
+        side: The side whose requests are replayed; None replays all chosen exchanges.
+        queue: The exchanges, followed by None at the end.
+        order: Sorts the exchanges by the time of their requests.
+        stopping: Set by the event loop when it needs no more exchanges.
+        error: Why the reading ended early; empty if it read the whole capture.
+        other_side_count: Number of exchanges left out because only requests of the other side are replayed.
+        without_request_count: Number of exchanges left out because their request was not captured.
     """
 
     def __init__(self, source: CaptureSource, selection: ExchangeFilter, side: str | None) -> None:
-        """Read nothing before ``start`` is called."""
+        """Prepare the thread; reading begins with ``start``."""
         super().__init__(name="reader", daemon=True)
         self.source = source
         self.selection = selection
@@ -86,16 +95,18 @@
         self.without_request_count = 0
 
     def run(self) -> None:
-        """Read all; whatever error ends it is reported with the result."""
+        """Read the capture; an error that ends the reading is kept in ``error`` for the report."""
         try:
             self.read()
-        except Exception as error:  # the player waits for the end of the queue, whatever happens here
+        except (
+            Exception
+        ) as error:  # After any error the queue must still be ended: the player waits for its end.
             self.error = repr(error)
         finally:
             self.enqueue(None)
 
     def read(self) -> None:
-        """Queue the chosen exchanges until the end of the capture, or until it is told to stop."""
+        """Queue the chosen exchanges until the end of the capture, or until ``stopping`` is set."""
         for exchange in self.source.exchanges(progress=False):
             if self.selection(exchange):
                 self.accept(exchange)
@@ -105,7 +116,7 @@
             self.enqueue(ready)
 
     def accept(self, exchange: Exchange) -> None:
-        """Count an exchange that is left out, or queue what its time makes due."""
+        """Count an exchange that is left out; otherwise sort it and queue the exchanges that are in order."""
         if self.side and exchange.side != self.side:
             self.other_side_count += 1
         elif exchange.asked_at is None:
@@ -115,7 +126,7 @@
                 self.enqueue(ready)
 
     def enqueue(self, exchange: Exchange | None) -> None:
-        """Wait for room in the queue, and add to it unless nothing more is wanted."""
+        """Wait for room in the queue and add an exchange; do nothing if ``stopping`` is set."""
         while not self.stopping:
             try:
                 self.queue.put(exchange, timeout=QUEUE_TIMEOUT)
@@ -125,7 +136,7 @@
 
 
 async def play(plan: ReplayPlan) -> dict[str, Any]:
-    """Play the capture and return the report, by the names that ``--json`` prints."""
+    """Replay the capture and return the report, with the names of the ``--json`` output."""
     reader = ReaderThread(plan.source, plan.selection, plan.side)
     options = plan.options
     player = Player(
@@ -150,17 +161,17 @@
         finally:
             reader.stopping = True
             player.transport.close()
-            await asyncio.sleep(0)  # connections that were closed get their turn
+            await asyncio.sleep(0)  # Lets the event loop process the closed connections.
             if plan.ledger:
                 await plan.ledger.finish()
     return build_report(player, reader, plan.ledger)
 
 
 async def open_transport(player: Player, plan: ReplayPlan) -> None:
-    """Give the player its way to the target: an instance in this process, or connections to one elsewhere."""
+    """Give the player a transport: an instance in this process, or connections to an instance elsewhere."""
     options = plan.options
     if plan.configuration is None:
-        from gatebank.replay.sockets import SocketTransport  # only one of the two is needed
+        from gatebank.replay.sockets import SocketTransport  # Imported here: a replay needs one transport.
 
         player.transport = SocketTransport(
             player, plan.address, options.lines == "pooled", options.most_lines
@@ -175,7 +186,7 @@
 
 
 def build_report(player: Player, reader: ReaderThread, ledger: Ledger | None) -> dict[str, Any]:
-    """Return what became of all requests, by the names that ``--json`` prints."""
+    """Return the report of the replay, with the names of the ``--json`` output."""
     report = player.report.summary()
     report["stopped"] = player.stopped
     report["left_out_other_side"] = reader.other_side_count
@@ -189,7 +200,7 @@
 
 @asynccontextmanager
 async def progress_shown(player: Player, exchanges: int) -> AsyncIterator[None]:
-    """Show a progress bar on standard error, if that is a terminal, while the body runs."""
+    """Show a progress bar on standard error, if standard error is a terminal, while the body runs."""
     if not sys.stderr.isatty():
         yield
         return
@@ -201,8 +212,8 @@
 
 
 async def show_progress(player: Player, exchanges: int) -> None:
-    """Update a progress bar until it is cancelled."""
-    from rich.console import Console  # slow to import, and seldom needed
+    """Update a progress bar until the task is cancelled."""
+    from rich.console import Console  # Imported here because the import is slow and rarely needed.
     from rich.progress import Progress
 
     with Progress(console=Console(stderr=True), transient=True) as progress:
--- a/gatebank/cli/capture/show.py
+++ b/gatebank/cli/capture/show.py
@@ -1,4 +1,4 @@
-"""``gatebank capture show``: the chosen exchanges as a table, as JSON, or as a Parquet file."""
+"""``gatebank capture show``: prints the chosen exchanges as a table or JSON, or writes a Parquet file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from gatebank.cli.capture.source import CaptureSource
 from gatebank.cli.terminal import INCOMPLETE_STATUS, CommandLineError, end_cleanly, warn_all
 
-PARQUET_BATCH_ROWS = 10_000  # rows held in memory before they are written
+PARQUET_BATCH_ROWS = 10_000  # Number of rows that are collected in memory and written together.
 
 
 def run(source: CaptureSource, selection: ExchangeFilter, as_json: bool, parquet: Path | None) -> None:
@@ -24,7 +24,7 @@
 
     Raises:
         CommandLineError: A file cannot be read or written.
-        typer.Exit: Status 1 if a capture could not be read to its end.
+        typer.Exit: With status 1 if a capture could not be read to its end.
     """
     rows = CountedExchanges(source, selection)
     with end_cleanly(lambda: f"{rows.count} exchanges"):
@@ -39,20 +39,22 @@
 
 
 class CountedExchanges:
-    """The chosen exchanges of a capture.
+    """The chosen exchanges of a capture, counted while they are read.
 
     Attributes:
-        count: How many have been given out.
+        source: The capture.
+        selection: Filter of the exchanges.
+        count: Number of exchanges that were yielded and processed.
     """
 
     def __init__(self, source: CaptureSource, selection: ExchangeFilter) -> None:
-        """Read nothing yet."""
+        """Prepare the iteration; no file is read yet."""
         self.source = source
         self.selection = selection
         self.count = 0
 
     def iterate(self, progress: bool) -> Iterator[Exchange]:
-        """Yield the chosen exchanges; ``progress`` shows on a terminal how much has been read."""
+        """Yield the chosen exchanges; ``progress`` shows a progress bar on a terminal."""
         for exchange in self.source.exchanges(progress):
             if self.selection(exchange):
                 yield exchange
@@ -60,12 +62,12 @@
 
 
 def print_rows(rows: CountedExchanges, as_json: bool) -> None:
-    """Print one line for each exchange, as JSON or as a table with a heading."""
+    """Print one line per exchange, as JSON or as a table with a heading."""
     if not as_json:
         print(table.table_heading(), flush=True)
     format_row: Callable[[Exchange], bytes] = json_row if as_json else table_row
     output = sys.stdout.buffer
-    # A progress bar would be drawn over rows that go to the same terminal.
+    # A progress bar would overwrite rows that are printed to the same terminal.
     for exchange in rows.iterate(progress=not sys.stdout.isatty()):
         output.write(format_row(exchange) + b"\n")
     output.flush()
@@ -82,13 +84,13 @@
 
 
 def write_parquet(rows: CountedExchanges, path: Path) -> None:
-    """Write the same rows as ``--json`` to a Parquet file, which appears once it is complete.
+    """Write the same rows as ``--json`` to a Parquet file; the file appears only when it is complete.
 
     Raises:
         CommandLineError: The library is missing, or the file cannot be written.
     """
     try:
-        import pyarrow  # an extra of its own
+        import pyarrow  # Installed by the extra gatebank[parquet].
         import pyarrow.parquet
     except ImportError as error:
         raise CommandLineError("--parquet needs the extra gatebank[parquet]") from error
@@ -108,7 +110,7 @@
 
 
 def batches(exchanges: Iterator[Exchange]) -> Iterator[list[dict[str, Any]]]:
-    """Yield the exchanges' rows, many at a time."""
+    """Yield the rows of the exchanges in batches of PARQUET_BATCH_ROWS."""
     batch: list[dict[str, Any]] = []
     for exchange in exchanges:
         batch.append(exchange.row())
--- a/gatebank/cli/capture/source.py
+++ b/gatebank/cli/capture/source.py
@@ -1,4 +1,4 @@
-"""Reads the capture files that a command names, in order, as if they were one capture."""
+"""Reads the capture files of a command in order, as if they were one capture."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 from gatebank.cli.terminal import CommandLineError, byte_progress
 
-READ_BYTES = 1 << 18  # read at once: larger pieces were no faster
+READ_BYTES = 1 << 18  # Size of one read; larger reads were no faster.
 STANDARD_INPUT = "-"
 
 
@@ -30,21 +30,21 @@
     end: str | None = None,
     end_option: str = "--to",
 ) -> ExchangeFilter:
-    """Return the filter that the options ask for.
+    """Build the exchange filter from options of the command line.
 
     Args:
-        options: What is chosen; an option that was not given chooses everything.
-        begin: The first time that is chosen, as the user wrote it.
-        end: The first time that is no longer chosen, as the user wrote it.
-        end_option: What the option for ``end`` is called.
+        options: The filter options; an absent option excludes no exchange.
+        begin: Start of the time range (included), as text from the command line.
+        end: End of the time range (excluded), as text from the command line.
+        end_option: Name of the option for ``end``, used in error messages.
 
     Raises:
-        CommandLineError: An option has a value that it cannot have.
+        CommandLineError: An option has an invalid value.
     """
-    rest = options if isinstance(options, FilterOptions) else FilterOptions()
-    check_choices("--ended", rest.ended, ENDINGS)
+    extended_options = options if isinstance(options, FilterOptions) else FilterOptions()
+    check_choices("--ended", extended_options.ended, ENDINGS)
     check_choices("--side", options.side, SIDES)
-    for port in rest.port or ():
+    for port in extended_options.port or ():
         if not 0 < port < 65536:
             raise CommandLineError(f"{port} is not a port", "--port")
     return ExchangeFilter(
@@ -52,28 +52,28 @@
         end=parse_time_option(end_option, end),
         request_class=optional_frozenset(options.workload),
         tenant=optional_frozenset(options.customer),
-        key=optional_frozenset(rest.key),
-        id=optional_frozenset(rest.id_),
-        ended=optional_frozenset(rest.ended),
+        key=optional_frozenset(extended_options.key),
+        id=optional_frozenset(extended_options.id_),
+        ended=optional_frozenset(extended_options.ended),
         side=optional_frozenset(options.side),
-        port=frozenset(rest.port) if rest.port else None,
+        port=frozenset(extended_options.port) if extended_options.port else None,
     )
 
 
 def optional_frozenset(values: list[str] | None) -> frozenset[str] | None:
-    """Return the values as a filter wants them: None if all are chosen."""
+    """Return the values of an option as a set for the filter; None if the option is absent or empty."""
     return frozenset(values) if values else None
 
 
 def check_choices(option: str, values: list[str] | None, allowed: Collection[str]) -> None:
-    """Raise CommandLineError if one of the values is not allowed."""
+    """Raise CommandLineError if a value is not allowed."""
     unknown = sorted(set(values or ()) - set(allowed))
     if unknown:
         raise CommandLineError(f"{unknown[0]!r} is not known; allowed are {', '.join(allowed)}", option)
 
 
 def parse_time_option(option: str, text: str | None) -> int | None:
-    """Return a time in ns of Unix time, or None if there is none.
+    """Parse a time and return it as Unix time in ns, or None if the text is None.
 
     Raises:
         CommandLineError: The text is not a time.
@@ -87,11 +87,14 @@
 
 
 class CaptureSource:
-    """Capture files, read in order as one capture.
+    """Capture files that are read in order as one capture.
 
     Attributes:
-        reading: The latest reading, with its counts.
-        incomplete: One line for each file that could not be read to its end.
+        files: The files in order; ``-`` is standard input.
+        servers: Roles of servers that the capture may not contain.
+        limits: Limits of a reading.
+        reading: The latest reading with its counts.
+        incomplete: One line of text per file that could not be read to its end.
     """
 
     def __init__(
@@ -100,12 +103,12 @@
         servers: ServerOptions | None = None,
         limits: ReadingLimitOptions | None = None,
     ) -> None:
-        """Open nothing yet.
+        """Prepare the source; no file is opened yet.
 
         Args:
             files: The files in order; ``-`` is standard input.
-            servers: Servers whose kind the capture may not tell.
-            limits: What a reading may hold; without them, the usual limits.
+            servers: Roles of servers that the capture may not contain.
+            limits: Limits of a reading; None for the default limits.
         """
         self.files = files
         self.servers = servers or ServerOptions()
@@ -114,38 +117,38 @@
         self.incomplete: list[str] = []
 
     def new_reading(self) -> CaptureReader:
-        """Return a reading that has seen nothing yet."""
+        """Return a new capture reader that has not received any bytes."""
         endpoints = self.servers.endpoints or []
         instances = self.servers.instances or []
         return CaptureReader(self.limits, endpoints=endpoints, instances=instances)
 
     def require_files(self) -> None:
-        """Raise CommandLineError unless all can be read more than once."""
+        """Raise CommandLineError unless all sources are files, which can be read more than once."""
         for path in self.files:
             if str(path) == STANDARD_INPUT or not path.is_file():
-                raise CommandLineError("a file is needed here, as it is read more than once", path)
+                raise CommandLineError("a file is needed here, because it is read more than once", path)
 
     def read_chunks(self, progress: bool) -> Iterator[tuple[Path, bytes | None]]:
-        """Yield the bytes of each file in pieces, and None at its end.
+        """Yield the bytes of each file in chunks, and None at the end of each file.
 
         Args:
-            progress: Show on a terminal how much has been read.
+            progress: Whether to show a progress bar on a terminal.
 
         Raises:
             CommandLineError: A file cannot be read.
         """
         with byte_progress(self.files, progress) as advance:
             for path in self.files:
-                for piece in read_file_chunks(path):
-                    yield path, piece
-                    advance(len(piece))
+                for chunk in read_file_chunks(path):
+                    yield path, chunk
+                    advance(len(chunk))
                 yield path, None
 
     def exchanges(self, progress: bool = True) -> Iterator[Exchange]:
-        """Yield all exchanges, in the order of their ends, with a new reading.
+        """Read the files from the beginning and yield all exchanges in the order in which they end.
 
         Args:
-            progress: Show on a terminal how much has been read.
+            progress: Whether to show a progress bar on a terminal.
 
         Raises:
             CommandLineError: A file cannot be read, or the only file is not a capture.
@@ -153,15 +156,15 @@
         reading = self.new_reading()
         self.reading = reading
         self.incomplete = []
-        for path, piece in self.read_chunks(progress):
-            if piece is None:
+        for path, chunk in self.read_chunks(progress):
+            if chunk is None:
                 self.end_file(path)
             else:
-                yield from reading.feed(piece)
+                yield from reading.feed(chunk)
         yield from reading.end()
 
     def end_file(self, path: Path) -> None:
-        """Note whether a file was read to its end, and let the next file's packets continue the capture."""
+        """Record whether a file was read to its end, and prepare the reader for the next file."""
         packets = self.reading.packets
         packets.end()
         if packets.error is not None:
@@ -173,7 +176,7 @@
 
 
 def reading_limits(limits: ReadingLimitOptions) -> ReadingLimits:
-    """Return the bounds of a reading that the options ask for."""
+    """Return the limits of a reading that the options define."""
     return ReadingLimits(
         max_connections=limits.max_connections,
         max_gap_bytes=limits.max_gap_bytes,
@@ -183,15 +186,15 @@
 
 
 def read_file_chunks(path: Path) -> Iterator[bytes]:
-    """Yield the bytes of a file or of standard input in pieces.
+    """Yield the bytes of a file or of standard input in chunks.
 
     Raises:
-        CommandLineError: It cannot be opened or read.
+        CommandLineError: The file cannot be opened or read.
     """
     file = open_file(path)
     try:
-        while piece := file.read(READ_BYTES):
-            yield piece
+        while chunk := file.read(READ_BYTES):
+            yield chunk
     except OSError as error:
         raise CommandLineError(error.strerror, path) from error
     finally:
@@ -203,7 +206,7 @@
     """Open a file, or return standard input for ``-``.
 
     Raises:
-        CommandLineError: It cannot be opened.
+        CommandLineError: The file cannot be opened.
     """
     if str(path) == STANDARD_INPUT:
         return sys.stdin.buffer
--- a/gatebank/cli/fleet_logs.py
+++ b/gatebank/cli/fleet_logs.py
@@ -1,7 +1,8 @@
-"""Counts over a fleet, second by second, from the logs of its instances.
+"""Adds up the counters of a whole fleet per second, from the logs of its instances.
 
-An instance writes a line with ``event=ready`` when it starts, and lines with ``event=standing`` that have its
-counters since then. What was counted between two such lines is spread evenly over the seconds between them.
+An instance logs a line with ``event=ready`` when it starts, and at intervals a line with ``event=standing``
+(the counter line) that holds its counters since the start. Counts between two such lines are distributed
+evenly over the seconds between them.
 """
 
 from __future__ import annotations
@@ -15,8 +16,9 @@
 from gatebank.cli.terminal import byte_progress
 
 KEY_AND_VALUE = re.compile(r'(\w+)=("(?:[^"\\]|\\.)*"|[^\s"]+)')
-LINE_START = re.compile(r"(?:^|\s)at=\d")  # whatever collects the logs may have put something before it
-# The counters of a standing line, in the order in which they are shown; its other keys are not counters.
+# Start of a log line written by gatebank. Log collectors may have inserted a prefix before it.
+LINE_START = re.compile(r"(?:^|\s)at=\d")
+# Counters of a line with ``event=standing``, in the order of the output; its other keys are not counters.
 COUNTERS = (
     "first_tries", "repeated", "rejected", "broken_off", "abandoned", "left",
     "satisfied", "error", "turned_away", "no_connection", "cut", "timed_out", "withdrawn", "not_sent",
@@ -24,7 +26,8 @@
     "words_told", "words_heard", "words_dropped",
     "vote_counted", "vote_too_many", "vote_moot", "vote_failed", "vote_no_answer",
 )  # fmt: skip
-PROGRESS_CHARACTERS = 1 << 18  # read between two updates of the progress bar
+# Number of characters that are read between two updates of the progress bar.
+PROGRESS_CHARACTERS = 1 << 18
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,8 +35,8 @@
     """The counters of one instance at one time.
 
     Attributes:
-        time: Seconds of Unix time.
-        counters: Since the instance started.
+        time: Unix time in seconds.
+        counters: Counts since the start of the instance.
     """
 
     time: float
@@ -42,13 +45,14 @@
 
 @dataclass
 class FleetCounts:
-    """Counts of a whole fleet; grows with the seconds that the logs cover, not with their lines.
+    """Counts of a whole fleet; memory grows with the time that the logs cover, not with their lines.
 
     Attributes:
-        seconds: What was counted, by second of Unix time.
-        instances: How many logs were read.
-        starts: How many times an instance started.
-        bad_lines: Lines that cannot be read, or whose counters fell without a start before them.
+        seconds: Counts by second of Unix time.
+        instances: Number of logs that were read.
+        starts: Number of starts of instances.
+        bad_lines: Number of lines that cannot be parsed, or whose time or counters decreased without a
+            start of the instance in between.
     """
 
     seconds: dict[int, Counter[str]] = field(default_factory=dict)
@@ -57,7 +61,7 @@
     bad_lines: int = 0
 
     def add_log(self, lines: Iterable[str]) -> None:
-        """Add what one instance's log tells."""
+        """Add the counts of one instance's log."""
         self.instances += 1
         previous: CounterReading | None = None
         for line in lines:
@@ -73,11 +77,12 @@
     def add_counter_line(
         self, keys: dict[str, str], previous: CounterReading | None
     ) -> CounterReading | None:
-        """Add what was counted since the previous reading, and return the reading that the next one follows.
+        """Add the counts since the previous reading, and return the reading to compare the next line with.
 
         Args:
-            keys: Of the standing line.
-            previous: None if the start of the log is missing: nothing tells when its first counts were made.
+            keys: Keys and values of the line with ``event=standing``.
+            previous: The previous reading; None if the start of the log is missing, so that the time of the
+                first counts is unknown.
         """
         try:
             counters = Counter({name: int(keys[name]) for name in COUNTERS if name in keys})
@@ -95,7 +100,7 @@
         return CounterReading(time, previous.counters | counters)
 
     def add_evenly(self, name: str, count: int, begin: float, end: float) -> None:
-        """Add a count evenly to the seconds from ``begin`` to ``end``, in whole numbers that add up to it."""
+        """Distribute a count evenly over the seconds from ``begin`` to ``end``, as integers with this sum."""
         first = int(begin)
         last = max(first, int(end - 1e-9))
         seconds = last - first + 1
@@ -105,7 +110,7 @@
                 self.seconds.setdefault(first + number, Counter())[name] += share
 
     def group_by_time(self, seconds: int) -> dict[int, Counter[str]]:
-        """Return the counts of so many seconds each, by the seconds since the first that has any."""
+        """Return the counts per period of this many seconds, by time since the first counted second."""
         begin = min(self.seconds, default=0)
         rows: dict[int, Counter[str]] = {}
         for time, counters in sorted(self.seconds.items()):
@@ -115,7 +120,7 @@
 
 
 def parse_line(line: str) -> dict[str, str] | None:
-    r"""Return the keys of a log line, or None where it was cut off or is not a log line.
+    r"""Return the keys and values of a log line, or None if the line is truncated or not a log line.
 
     >>> parse_line("0.3 at=12.5 level=info event=standing probes=3\n")
     {'at': '12.5', 'level': 'info', 'event': 'standing', 'probes': '3'}
@@ -135,12 +140,12 @@
 
 
 def log_files(folder: Path) -> list[Path]:
-    """Return the logs in a folder, one an instance, sorted by name."""
+    """Return the log files in a folder, one per instance, sorted by name."""
     return sorted(path for path in folder.glob("*.log") if path.is_file())
 
 
 def read_logs(paths: list[Path]) -> FleetCounts:
-    """Return the counts of all logs, with progress on a terminal."""
+    """Read all logs and return their counts; show progress if standard error is a terminal."""
     counts = FleetCounts()
     with byte_progress(paths, shown=True) as advance:
         for path in paths:
@@ -150,7 +155,7 @@
 
 
 def report_progress(lines: Iterable[str], advance: Callable[[int], None]) -> Iterator[str]:
-    """Yield the lines, and tell every PROGRESS_CHARACTERS how much has been read."""
+    """Yield the lines, and call ``advance`` about every PROGRESS_CHARACTERS with the number just read."""
     pending = 0
     for line in lines:
         yield line
--- a/gatebank/cli/keys.py
+++ b/gatebank/cli/keys.py
@@ -1,4 +1,4 @@
-"""``gatebank keys ...``: a small authority, instances' keys, what they say and when they end."""
+"""``gatebank keys ...``: creates a certificate authority and keys of instances, and shows and checks them."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 app = typer.Typer(
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="Make, show and check the keys of links between instances.",
+    help="Create, show and check the keys for connections between instances.",
 )
 FolderArgument = Annotated[Path, typer.Argument(help="A folder.")]
 NameArgument = Annotated[str, typer.Argument(help="The name in the certificate.")]
-AUTHORITY_KEY = "authority.key"  # in the folder of an authority, beside its certificate
+AUTHORITY_KEY = "authority.key"  # File in the folder of an authority, beside its certificate.
 PRIVATE_MODE = 0o600
 PUBLIC_MODE = 0o644
 FOLDER_MODE = 0o700
-SHOWN_FINGERPRINT = 32  # characters: enough to tell certificates apart by eye
+# Number of fingerprint characters to print, enough for a person to tell certificates apart.
+FINGERPRINT_CHARACTERS = 32
 
 
 @app.callback()
 def check_installed() -> None:
-    """Refuses all commands where `cryptography` is not installed."""
+    """Refuse all commands of this group if the library `cryptography` is not installed."""
     if importlib.util.find_spec("cryptography") is None:
         refuse("keys need the extra gatebank[learning]; cryptography is missing")
 
 
 def refuse(reason: object) -> NoReturn:
-    """Ends the command with status 2 and a line on standard error."""
+    """End the command with status 2 and a one-line message on standard error."""
     typer.echo(f"gatebank: {reason}".replace("\n", " "), err=True)
     raise typer.Exit(2)
 
 
 def write_file(path: Path, data: bytes, mode: int = PUBLIC_MODE) -> None:
-    """Writes a file under another name and renames it, so a watcher sees the old file or the new one."""
+    """Write a file under a temporary name and rename it, so that readers see either the old or new file."""
     temporary = path.with_name(path.name + ".new")
     try:
         path.parent.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
@@ -58,15 +59,15 @@
     title: NameArgument = "gatebank",
     days: Annotated[float, typer.Option(min=0.01)] = 3650,
 ) -> None:
-    """Make a new authority: FOLDER/authority.key stays where instances' keys are made."""
+    """Create a new authority. Keep FOLDER/authority.key only on the machine where keys are created."""
     from gatebank.keys import authority
     from gatebank.keys import folder as key_folder
 
     if (folder / AUTHORITY_KEY).exists():
-        refuse(f"{folder / AUTHORITY_KEY}: is there already; a new authority wants a new folder")
-    made = authority.make_authority(title, days=days)
-    write_file(folder / AUTHORITY_KEY, made.key, PRIVATE_MODE)
-    write_file(folder / key_folder.AUTHORITY_FILE, made.certificate)
+        refuse(f"{folder / AUTHORITY_KEY}: already exists; a new authority needs a new folder")
+    key_pair = authority.make_authority(title, days=days)
+    write_file(folder / AUTHORITY_KEY, key_pair.key, PRIVATE_MODE)
+    write_file(folder / key_folder.AUTHORITY_FILE, key_pair.certificate)
     print(f"{folder}: authority {title}, for {days:g} days")
 
 
@@ -74,11 +75,13 @@
 def make_instance(
     authority: Annotated[Path, typer.Argument(help="The authority's folder.")],
     name: NameArgument,
-    folder: Annotated[Path, typer.Argument(help="The instance's folder of keys.")],
+    folder: Annotated[Path, typer.Argument(help="The instance's key folder.")],
     days: Annotated[float, typer.Option(min=0.001)] = 90,
-    trust: Annotated[list[Path] | None, typer.Option(help="Another authority.pem to trust too.")] = None,
+    trust: Annotated[
+        list[Path] | None, typer.Option(help="The authority.pem of another authority to trust.")
+    ] = None,
 ) -> None:
-    """Make a key and a certificate for one instance, in its own folder; anew, it replaces what is there."""
+    """Create a key and a certificate for one instance in its key folder; existing files are replaced."""
     from gatebank.keys import authority as authorities
     from gatebank.keys import folder as key_folder
 
@@ -86,21 +89,21 @@
         signer = authorities.KeyPair(
             (authority / AUTHORITY_KEY).read_bytes(), (authority / key_folder.AUTHORITY_FILE).read_bytes()
         )
-        made = authorities.issue_instance_keys(signer, name, days=days)
+        key_pair = authorities.issue_instance_keys(signer, name, days=days)
         trusted = signer.certificate + b"".join(path.read_bytes() for path in trust or ())
     except OSError as error:
         refuse(f"{error.filename}: {error.strerror}")
     except (ValueError, TypeError) as error:
         refuse(f"{authority}: {error}")
     write_file(folder / key_folder.AUTHORITY_FILE, trusted)
-    write_file(folder / key_folder.KEY_FILE, made.key, PRIVATE_MODE)
-    write_file(folder / key_folder.CERTIFICATE_FILE, made.certificate)
+    write_file(folder / key_folder.KEY_FILE, key_pair.key, PRIVATE_MODE)
+    write_file(folder / key_folder.CERTIFICATE_FILE, key_pair.certificate)
     print(f"{folder}: {name}, for {days:g} days")
 
 
 @app.command()
-def show(file: Annotated[Path, typer.Argument(help="A file of certificates, or a folder of keys.")]) -> None:
-    """What certificates say."""
+def show(file: Annotated[Path, typer.Argument(help="A file of certificates, or a key folder.")]) -> None:
+    """Print the contents of certificates."""
     from gatebank.keys import folder as key_folder
     from gatebank.keys.authority import read_certificates
 
@@ -114,13 +117,16 @@
     for path, certificate in rows:
         kind = "authority" if certificate.is_authority else "instance"
         validity = f"{certificate.valid_from:%Y-%m-%d %H:%M} to {certificate.valid_until:%Y-%m-%d %H:%M}"
-        fingerprint = certificate.fingerprint[:SHOWN_FINGERPRINT]
+        fingerprint = certificate.fingerprint[:FINGERPRINT_CHARACTERS]
         print(f"{path.name}: {kind} {certificate.name}, of {certificate.issuer}, {validity}, {fingerprint}")
 
 
 @app.command()
 def check(folder: FolderArgument) -> None:
-    """Could an instance start with this folder? Status 1 if a certificate ends within two weeks."""
+    """Check whether an instance can start with this key folder.
+
+    The exit status is 1 if a certificate expires within two weeks.
+    """
     from gatebank.keys import folder as key_folder
 
     try:
--- a/gatebank/cli/learn.py
+++ b/gatebank/cli/learn.py
@@ -1,4 +1,4 @@
-"""``gatebank learn ...``: what instances and snapshots know, how old it is, and what it would weigh."""
+"""``gatebank learn ...``: shows and compares the items of instances and snapshots, with age and weight."""
 
 from __future__ import annotations
 
@@ -17,17 +17,19 @@
 app = typer.Typer(
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="Show and compare what running instances and snapshots know.",
+    help="Show and compare the knowledge of running instances and snapshots.",
 )
-# Names in items' stored form, in the order of the text: what an item is of, and its figures.
+# Field names of stored items in the order of the text output: first the names that identify the subject of an
+# item, then the names of its values.
 SUBJECT_NAMES = ("node", "workload", "ratio", "build", "stage", "marshal", "kind")
-FIGURE_NAMES = ("phase", "cap", "rate", "slow", "faults", "aside", "pace", "bad", "all")
-# Differences in these do not count: two instances saw the same at other times.
+VALUE_NAMES = ("phase", "cap", "rate", "slow", "faults", "aside", "pace", "bad", "all")
+# Fields (age, weight, number of observations) that are not compared, because two instances observe the same
+# fact at different times.
 NOT_COMPARED = ("age", "weight", "seen")
-# Kinds of which the text has a number of rows and not each row.
+# Kinds of items of which the text output shows only the number.
 SINGLE_EVENT_KINDS = ("sent", "took")
 
-Fields = dict[str, Any]  # of an item: its kind, its stored fields and its weight, as they are printed
+Fields = dict[str, Any]  # Printed fields of an item: its kind, its stored fields and its weight.
 SourceArgument = Annotated[
     str, typer.Argument(help="An instance's address:port, or a snapshot file or folder.")
 ]
@@ -37,15 +39,17 @@
 SecondSource = Annotated[
     str, typer.Argument(metavar="b", help="An instance's address:port, or a snapshot file or folder.")
 ]
-JsonOption = Annotated[bool, typer.Option("--json", help="For programs: an object a line.")]
-KeysOption = Annotated[Path | None, typer.Option(help="A folder of keys; without it the link is plain.")]
+JsonOption = Annotated[bool, typer.Option("--json", help="Print JSON for programs, one object per line.")]
+KeysOption = Annotated[
+    Path | None, typer.Option(help="A key folder; without it the connection does not use TLS.")
+]
 ConfigurationOption = Annotated[
-    Path | None, typer.Option(help="A marshal's configuration: whose deployment it is.")
+    Path | None, typer.Option(help="An instance's configuration, which determines the deployment.")
 ]
 
 
 class EventCount(NamedTuple):
-    """Items of single events that the text counts together; the build is 0 where they have none."""
+    """Group of single-event items that are counted together; the build is 0 if the items have no build."""
 
     kind: str
     origin: str
@@ -53,13 +57,13 @@
 
 
 def refuse(reason: object) -> NoReturn:
-    """Ends the command with status 2 and a line on standard error."""
+    """End the command with status 2 and a one-line message on standard error."""
     typer.echo(f"gatebank: {reason}".replace("\n", " "), err=True)
     raise typer.Exit(2)
 
 
 def load_or_refuse(source: str, keys: Path | None, configuration: Path | None) -> list[StateItem]:
-    """Returns the items of a source, the most valuable first, or ends the command."""
+    """Return the items of a source, the most valuable first; if they cannot be loaded, end the command."""
     try:
         from gatebank.cli.state_sources import StateSourceError, load_items
     except ModuleNotFoundError as error:
@@ -71,7 +75,7 @@
 
 
 def default_weight(item: StateItem) -> float | None:
-    """Returns what an item weighs by the default half-lives; None for kinds that are not weighed."""
+    """Return the weight of an item with the default half-lives; None for kinds that have no weight."""
     from gatebank.state_transfer import items, weighting
 
     half_lives = weighting.HalfLives()
@@ -90,7 +94,7 @@
 
 
 def item_fields(item: StateItem) -> Fields:
-    """Returns an item's kind, stored fields and weight, by the names of the JSON output."""
+    """Return an item's kind, stored fields and weight by their names in the JSON output."""
     import msgspec
 
     fields = msgspec.to_builtins(item)
@@ -98,47 +102,47 @@
 
 
 def write_json(value: Fields) -> None:
-    """Writes an object as a line of standard output; keys that are numbers, as sums have, become strings."""
+    """Write an object as one line to standard output; numeric keys, as in test sums, become strings."""
     sys.stdout.buffer.write(orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS) + b"\n")
 
 
 def print_line(text: str) -> None:
-    """Prints a line; names in it may come from elsewhere, so control characters are replaced."""
+    """Print a line; control characters are replaced because names may come from other machines."""
     from gatebank.capture.terminal import printable
 
     print(printable(text))
 
 
-def item_text(item: StateItem) -> str:
-    """Returns an item as a line of text."""
+def format_item(item: StateItem) -> str:
+    """Format an item as a line of text."""
     fields = item_fields(item)
     subject = " ".join(
         f"{name} {fields[name]}" for name in SUBJECT_NAMES if fields.get(name) not in (None, "")
     )
-    figures = " ".join(
-        f"{name} {figure_text(fields[name])}"
-        for name in FIGURE_NAMES
+    values = " ".join(
+        f"{name} {format_item_value(fields[name])}"
+        for name in VALUE_NAMES
         if fields.get(name) not in (None, False)
     )
     observed = f"{item.age:.1f} s old, by {item.origin}, seen {item.outcomes}"
     weight = "" if fields["weight"] is None else f" weighs {fields['weight']:.2f}"
-    return f"{fields['what']:>6} {subject}: {figures}; {observed}{weight}"
+    return f"{fields['what']:>6} {subject}: {values}; {observed}{weight}"
 
 
-def figure_text(value: object) -> str:
-    """Returns a figure in three digits, other values as they are."""
+def format_item_value(value: object) -> str:
+    """Format a floating-point value with three digits, and other values as they are."""
     return f"{value:.3g}" if isinstance(value, float) else str(value)
 
 
 def print_items(items: Iterable[StateItem]) -> None:
-    """Prints a line for each item, and one for all items of single events that are alike."""
+    """Print one line per item, and one line per group of single-event items."""
     counts: Counter[EventCount] = Counter()
     for item in items:
         fields = item_fields(item)
         if fields["what"] in SINGLE_EVENT_KINDS:
             counts[EventCount(fields["what"], item.origin, fields.get("build", 0))] += 1
         else:
-            print_line(item_text(item))
+            print_line(format_item(item))
     for event, count in counts.items():
         build = f", build {event.build}" if event.build else ""
         print_line(f"{event.kind:>6} {count} rows of the last window by {event.origin}{build}")
@@ -151,7 +155,7 @@
     keys: KeysOption = None,
     configuration: ConfigurationOption = None,
 ) -> None:
-    """What is known, how old it is, from whom, and what it would weigh now."""
+    """Print the items of a source with their age, origin and present weight."""
     items = load_or_refuse(source, keys, configuration)
     if not as_json:
         print_items(items)
@@ -161,7 +165,7 @@
 
 
 def fields_by_identity(items: Iterable[StateItem]) -> dict[str, Fields]:
-    """Returns the fields of all items but those of single events, by the text of what they are of."""
+    """Return the fields of all items except single-event items, by the text of the item's identity."""
     from gatebank.state_transfer.items import AdmittedRequest, SentAttempt, identity
 
     return {
@@ -172,7 +176,7 @@
 
 
 def differing_names(first: Fields, second: Fields) -> list[str]:
-    """Returns the names of the first's fields in which the second differs."""
+    """Return the names of the first item's fields that differ in the second item."""
     return [name for name, value in first.items() if name not in NOT_COMPARED and value != second.get(name)]
 
 
@@ -184,7 +188,10 @@
     keys: KeysOption = None,
     configuration: ConfigurationOption = None,
 ) -> None:
-    """What one knows and the other does not, and where they differ; ages apart do not count."""
+    """Print the items that only one source has, and the items whose values differ.
+
+    Ages, weights and numbers of observations are not compared.
+    """
     first_items = fields_by_identity(load_or_refuse(first_source, keys, configuration))
     second_items = fields_by_identity(load_or_refuse(second_source, keys, configuration))
     for key in sorted(first_items.keys() | second_items.keys()):
--- a/gatebank/cli/options.py
+++ b/gatebank/cli/options.py
@@ -1,7 +1,7 @@
-"""Options that several commands share, and the decorator that lets a command take a group of them.
+"""Options that several commands share, and a decorator for commands that take groups of options.
 
-A group is a frozen dataclass whose fields are annotated as typer's parameters are. A command takes it as one
-parameter; typer sees one option for each field:
+An option group is a frozen dataclass whose fields are annotated like typer parameters. A command takes the
+group as one parameter, while typer sees one option per field:
 
     @dataclass(frozen=True)
     class ServerOptions:
@@ -22,23 +22,23 @@
 
 from gatebank.cli.terminal import CommandLineError, fail
 
-AsJson = Annotated[bool, typer.Option("--json", help="For programs: JSON, one object a line.")]
+AsJson = Annotated[bool, typer.Option("--json", help="Print JSON for programs, one object per line.")]
 
 
 def command(
     app: typer.Typer, name: str | None = None
 ) -> Callable[[Callable[..., None]], Callable[..., None]]:
-    """Make the decorated function a command of ``app``.
+    """Return a decorator that makes a function a command of ``app``.
 
-    Groups of options in its signature become single options. A CommandLineError that it raises ends the
-    process with one line on standard error and the error's exit status.
+    Option groups in the function's signature become single options. If the function raises CommandLineError,
+    the process ends with one line on standard error and status 2.
 
     Args:
-        app: The group of commands that it is added to.
-        name: What it is called on the command line; without it, the function's name.
+        app: The group of commands to which the command is added.
+        name: Name of the command on the command line; by default, the function's name.
 
     Returns:
-        A decorator, which returns what typer calls: a function of keyword arguments.
+        A decorator that returns the function called by typer, which takes keyword arguments only.
     """
 
     def decorate(function: Callable[..., None]) -> Callable[..., None]:
@@ -48,9 +48,10 @@
 
 
 def flatten_option_groups(function: Callable[..., None]) -> Callable[..., None]:
-    """Return a function for typer, with one keyword parameter for each option of the groups.
+    """Return a wrapper for typer that has one keyword parameter per option of the groups.
 
-    Called, it gathers the groups again, calls ``function``, and ends the process on a CommandLineError.
+    The wrapper builds the groups from its arguments and calls ``function``. A CommandLineError ends the
+    process.
     """
     hints = get_type_hints(function, include_extras=True)
     groups: dict[str, type[Any]] = {
@@ -79,11 +80,11 @@
 
 
 def group_parameters(group: type[Any]) -> list[inspect.Parameter]:
-    """Return one keyword parameter for each field of a group of options."""
+    """Return one keyword parameter per field of an option group."""
     hints = get_type_hints(group, include_extras=True)
     return [keyword_parameter(field.name, hints[field.name], field.default) for field in fields(group)]
 
 
 def keyword_parameter(name: str, annotation: object, default: object) -> inspect.Parameter:
-    """Return a keyword-only parameter: unlike others, these may stand in any order."""
+    """Return a keyword-only parameter; unlike positional ones, these may follow parameters with defaults."""
     return inspect.Parameter(name, inspect.Parameter.KEYWORD_ONLY, annotation=annotation, default=default)
--- a/gatebank/cli/state_sources.py
+++ b/gatebank/cli/state_sources.py
@@ -1,4 +1,4 @@
-"""Where ``gatebank learn`` has items from: a running instance, a snapshot file or a folder of snapshots."""
+"""Loads items for ``gatebank learn`` from a running instance, a snapshot file or a folder of snapshots."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
     encode_frame,
 )
 
-# Seconds until an instance must have answered, with all the times that a busy one is asked again.
+# Time limit in seconds for the answer of an instance, including all retries while the instance is busy.
 ANSWER_TIMEOUT = 20.0
-# Seconds: snapshots of any age are shown.
+# Age limit in seconds that admits snapshots of any age.
 UNLIMITED_AGE = 1e9
 
 
 class StateSourceError(GatebankError):
-    """A source has no items to be had.
+    """The items of a source cannot be loaded.
 
     Attributes:
-        reason: why, with the source's name.
+        reason: Description of the failure, with the source's name.
     """
 
     def __init__(self, reason: object) -> None:
@@ -47,22 +47,22 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceReply:
-    """What an instance sent: all its items, or a refusal with seconds after which to ask again."""
+    """Reply of an instance: all its items, or a refusal with the time in seconds after which to retry."""
 
     items: list[StateItem]
     retry_after: float | None = None
 
 
 def load_items(source: str, keys_folder: Path | None, configuration: Path | None) -> list[StateItem]:
-    """Returns all items of a source, the most valuable first.
+    """Load all items of a source, the most valuable first.
 
     Args:
-        source: address and port of an instance, or path of a snapshot file or folder.
-        keys_folder: for an instance's link; without it the link is plain.
-        configuration: of an instance, whose deployment is asked for.
+        source: Address and port of an instance, or path of a snapshot file or folder.
+        keys_folder: Key folder for the connection to an instance; without it the connection uses no TLS.
+        configuration: Configuration file of an instance, which determines the requested deployment.
 
     Raises:
-        StateSourceError: there is nothing to be had.
+        StateSourceError: The items cannot be loaded.
     """
     path = Path(source)
     if path.exists():
@@ -75,29 +75,29 @@
 
 
 def read_snapshot(path: Path) -> list[StateItem]:
-    """Returns the items of a snapshot file, or of the newest one in a folder that can be read."""
+    """Return the items of a snapshot file, or of the newest readable snapshot in a folder."""
     paths = [path]
     if path.is_dir():
         paths = [path / name for name in snapshot.FILE_NAMES if (path / name).exists()]
     loaded: list[snapshot.LoadedSnapshot] = []
-    reason = "no snapshot is there"
-    for each in paths:
+    reason = "no snapshot found"
+    for file in paths:
         try:
-            data = each.read_bytes()
+            data = file.read_bytes()
             header = snapshot.decode_header(data)
             now = max(time.time(), header.at)
             loaded.append(snapshot.decode_snapshot(data, header.deployment, now, UNLIMITED_AGE))
         except (OSError, snapshot.SnapshotError) as error:
-            reason = f"{each.name}: {getattr(error, 'strerror', None) or error}"
+            reason = f"{file.name}: {getattr(error, 'strerror', None) or error}"
     if not loaded:
         raise StateSourceError(f"{path}: {reason}")
-    return max(loaded, key=lambda found: found.header.at).items
+    return max(loaded, key=lambda candidate: candidate.header.at).items
 
 
 async def request_items(
     source: str, where: Address, keys_folder: Path | None, configuration: Path | None
 ) -> list[StateItem]:
-    """Returns what an instance knows; asks as a receiver does, and its listener decides whether it may."""
+    """Request all items from an instance as a receiver does; the instance decides whether to permit it."""
     try:
         hello = Hello(name="show", deployment=deployment_of(configuration))
         context = client_context(keys_folder)
@@ -106,12 +106,12 @@
     late_reason = "no answer in time"
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT):
-            # A busy source serves its clients first, and says when to come back.
+            # A busy source serves its clients first, and its refusal says when to retry.
             while (reply := await request_items_once(where, context, hello, source)).retry_after is not None:
                 late_reason = "busy"
                 await asyncio.sleep(reply.retry_after)
     except TransferProtocolError as error:
-        hint = "--configuration tells which deployment is asked"
+        hint = "--configuration determines which deployment is requested"
         raise StateSourceError(f"{source}: {error}; {hint}") from error
     except InvalidItemError as error:
         raise StateSourceError(f"{source}: {error}") from error
@@ -129,7 +129,10 @@
 async def request_items_once(
     where: Address, context: ssl.SSLContext | None, hello: Hello, source: str
 ) -> SourceReply:
-    """Makes one connection to an instance and returns its reply; raises as `Connection` and `feed` do."""
+    """Open one connection to an instance and return its reply.
+
+    Raises the errors of `Connection` and of `Conversation.feed`.
+    """
     tls = TlsStream(context, is_server=False) if context else None
     conversation = Conversation(hello)
     items: list[StateItem] = []
@@ -140,7 +143,7 @@
             data = await connection.read()
             if not data:
                 hint = "is this name among its may_learn?"
-                raise StateSourceError(f"{source}: it ended the connection; {hint}")
+                raise StateSourceError(f"{source}: the source closed the connection; {hint}")
             for message in conversation.feed(data):
                 if isinstance(message, Refusal):
                     return SourceReply(items, message.retry_after)
@@ -150,10 +153,10 @@
 
 
 def deployment_of(configuration: Path | None) -> str:
-    """Returns the deployment of an instance's configuration file; empty without one.
+    """Return the deployment id of an instance's configuration file; empty without a file.
 
     Raises:
-        ConfigurationError: the file can't be used.
+        ConfigurationError: The file cannot be used.
     """
     if configuration is None:
         return ""
@@ -162,14 +165,14 @@
 
 
 def client_context(keys_folder: Path | None) -> ssl.SSLContext | None:
-    """Returns a TLS context with a folder's keys; None without one.
+    """Return a TLS context with the keys of a folder; None without a folder.
 
     Raises:
-        KeyFolderError: the folder can't be used.
+        KeyFolderError: The folder cannot be used.
     """
     if keys_folder is None:
         return None
-    # Only here is `cryptography` needed: snapshots are shown without it.
+    # Imported here because only TLS needs `cryptography`; snapshots can be shown without that library.
     from gatebank.keys.folder import read_keys
 
     return read_keys(keys_folder).client
--- a/gatebank/cli/terminal.py
+++ b/gatebank/cli/terminal.py
@@ -1,4 +1,4 @@
-"""What commands say to people: messages on standard error, progress, and a clean end when interrupted."""
+"""Terminal output of commands: messages on standard error, progress bars, and orderly exit on interrupts."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 from gatebank.capture.terminal import printable
 from gatebank.errors import GatebankError
 
-INCOMPLETE_STATUS = 1  # the command ran, but not all of it was well; standard error says what was not
-USAGE_STATUS = 2  # nothing was done; the same as typer's for a wrong option
-INTERRUPTED_STATUS = 130  # as shells report SIGINT
+# Exit status of a command that ran, but whose result is incomplete; standard error has the reasons.
+INCOMPLETE_STATUS = 1
+# Exit status of a command that did nothing; typer uses the same status for invalid options.
+USAGE_STATUS = 2
+# Exit status after an interrupt; shells report the same status for SIGINT.
+INTERRUPTED_STATUS = 130
 
 
 class CommandLineError(GatebankError):
-    """The command cannot do what it was asked to do.
+    """The command cannot be carried out.
 
     Attributes:
-        reason: Why not.
-        subject: The file or option that is wrong, if it is one.
+        reason: Description of the error.
+        subject: The faulty file or option; None if there is no single one.
     """
 
     def __init__(self, reason: object, subject: object = None) -> None:
-        """Keep the facts and make the text from them."""
+        """Store the reason and the subject, and build the message from them."""
         self.reason = reason
         self.subject = subject
         super().__init__(str(reason) if subject is None else f"{subject}: {reason}")
@@ -41,31 +44,32 @@
 
 
 def warn(message: object) -> None:
-    """Write one line on standard error, without anything that a terminal would obey."""
+    """Write one line to standard error; control characters are replaced to protect the terminal."""
     typer.echo(f"gatebank: {printable(message)}", err=True)
 
 
 def warn_all(messages: Iterable[object]) -> None:
-    """Write one line on standard error for each message."""
+    """Write each message to standard error as one line."""
     for message in messages:
         warn(message)
 
 
 @contextlib.contextmanager
 def byte_progress(paths: Iterable[Path], shown: bool) -> Iterator[Callable[[int], None]]:
-    """Show on standard error, if it is a terminal, how much of some files has been read.
+    """Show a progress bar for reading files on standard error, if standard error is a terminal.
 
     Args:
-        paths: The files that will be read. The total is unknown if one of them is a pipe.
-        shown: False if nothing is to be shown.
+        paths: The files that will be read. Only regular files count towards the total, which is unknown if
+            there are none.
+        shown: Whether to show a progress bar.
 
     Yields:
-        A function to call with the number of bytes that were just read.
+        A function to call with the number of bytes just read.
     """
     if not (shown and sys.stderr.isatty()):
         yield lambda size: None
         return
-    from rich.console import Console  # slow to import, and seldom needed
+    from rich.console import Console  # Imported here because the import is slow and rarely needed.
     from rich.progress import (
         BarColumn,
         DownloadColumn,
@@ -81,23 +85,23 @@
 
 
 @contextlib.contextmanager
-def end_cleanly(done: Callable[[], str]) -> Iterator[None]:
-    """End the command without a traceback if it is interrupted or its output is no longer read.
+def end_cleanly(describe_progress: Callable[[], str]) -> Iterator[None]:
+    """End the command without a traceback if it is interrupted or its standard output is closed.
 
     Args:
-        done: Says what was done so far, such as "12 exchanges".
+        describe_progress: Returns the amount of work done so far, such as "12 exchanges".
 
     Raises:
-        typer.Exit: Status 0 if standard output was closed, 130 after an interrupt.
+        typer.Exit: With status 0 if standard output was closed, with status 130 after an interrupt.
     """
     try:
         yield
         sys.stdout.flush()
     except BrokenPipeError:
-        # Otherwise the interpreter would flush the closed pipe as it ends, and complain.
+        # Otherwise the interpreter flushes the closed pipe at exit and prints an error message.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
-        warn(f"nobody reads on; ended after {done()}")
+        warn(f"standard output was closed; ended after {describe_progress()}")
         raise typer.Exit(0) from None
     except KeyboardInterrupt:
-        warn(f"interrupted after {done()}")
+        warn(f"interrupted after {describe_progress()}")
         raise typer.Exit(INTERRUPTED_STATUS) from None
