--- a/gatebank/cli/capture/replay_session.py
+++ b/gatebank/cli/capture/replay_session.py
@@ -98,9 +98,7 @@
         """Read the capture; an error that ends the reading is kept in ``error`` for the report."""
         try:
             self.read()
-        except (
-            Exception
-        ) as error:  # After any error the queue must still be ended: the player waits for its end.
+        except Exception as error:  # Any error must end the queue, because the player waits for its end.
             self.error = repr(error)
         finally:
             self.enqueue(None)
--- a/gatebank/keys/folder.py
+++ b/gatebank/keys/folder.py
@@ -158,13 +158,13 @@
     """
     if instance.valid_until <= now:
         raise KeyFolderError(
-            folder / CERTIFICATE_FILE, f"{instance.name} ended {instance.valid_until:%Y-%m-%d}"
+            folder / CERTIFICATE_FILE, f"{instance.name} expired on {instance.valid_until:%Y-%m-%d}"
         )
     certificates = [(CERTIFICATE_FILE, instance)]
     certificates += [(AUTHORITY_FILE, authority) for authority in authorities]
     for file_name, certificate in certificates:
         if certificate.valid_from > now:
-            reason = f"{certificate.name} begins {certificate.valid_from:%Y-%m-%d %H:%M}"
+            reason = f"{certificate.name} is not valid before {certificate.valid_from:%Y-%m-%d %H:%M}"
             raise KeyFolderError(folder / file_name, reason)
 
 
