--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -80,7 +80,7 @@
 
     def window_fits(self) -> bool:
         """Returns whether `items` can hold all attempts of the last exposure window, not only the latest."""
-        return sum(map(len, self.balancer.state.traffic.sent.values())) <= MAX_WINDOW_ROWS
+        return sum(map(len, self.balancer.state.traffic.attempts_by_build.values())) <= MAX_WINDOW_ROWS
 
     def receive(self, items: list[StateItem]) -> int:
         """Stores items that a source sent; returns how many were new."""
@@ -97,8 +97,8 @@
         merged = self.inherited.merged(now)
         state = self.inherited.inherited_state(merged, now)
         if self.window_applied:
-            state = replace(state, sent=(), accepted=(), window_known=False)
-        self.window_applied = self.window_applied or state.window_known
+            state = replace(state, sent=(), accepted=(), exposure_window_known=False)
+        self.window_applied = self.window_applied or state.exposure_window_known
         self.dispatcher.dispatch(self.balancer.apply_inherited_state, state)
         self.apply_stricter_release(merged.release)
 
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -105,7 +105,7 @@
         rows = [
             (self.names.endpoints[index], endpoint)
             for index, endpoint in self.state.endpoints.by_index.items()
-            if endpoint.results
+            if endpoint.result_count
         ]
         return [(name, endpoint) for name, endpoint in rows if name]
 
@@ -115,7 +115,7 @@
         Single attempts and requests of earlier incarnations are left out. They are of use only to a later
         start of the same instance, which reads them from its own snapshot.
         """
-        observed = {name for name, endpoint in endpoints if endpoint.results >= MIN_OWN_RESULTS}
+        observed = {name for name, endpoint in endpoints if endpoint.result_count >= MIN_OWN_RESULTS}
         items = self.inherited.items(self.now) if self.inherited else []
         return [
             item
@@ -150,8 +150,8 @@
         for attempt in self.state.outstanding.values():
             listed = attempt.endpoint.listed
             name = self.names.endpoints[listed.index]
-            if name and listed.started and self.now - listed.started < limit:
-                process = EndpointProcess(name, listed.build, listed.started)
+            if name and listed.started_at and self.now - listed.started_at < limit:
+                process = EndpointProcess(name, listed.build, listed.started_at)
                 counts[process] = counts.get(process, 0) + 1
         for process, count in counts.items():
             yield SlowStartRate(
@@ -159,7 +159,7 @@
                 incarnation=self.origin.incarnation,
                 age=0.0,
                 outcomes=count,
-                rate=min(MAX_RATE, count / max(MIN_ATTEMPT_TIME, self.state.latencies.longest)),
+                rate=min(MAX_RATE, count / max(MIN_ATTEMPT_TIME, self.state.latencies.longest_mean)),
                 endpoint=process.name,
                 build=process.build,
                 started=process.started or 0.0,
@@ -171,10 +171,10 @@
             origin=self.origin.name,
             incarnation=self.origin.incarnation,
             age=max(0.0, self.now - endpoint.last_result_at),
-            outcomes=endpoint.results,
+            outcomes=endpoint.result_count,
             endpoint=name,
             build=endpoint.listed.build,
-            started=endpoint.listed.started,
+            started=endpoint.listed.started_at,
             latency_ratio=min(MAX_RATIO, max(0.0, endpoint.latency_ratio)),
             failure_rate=min(1.0, max(0.0, endpoint.failure_rate)),
             ejected=endpoint.ejected,
@@ -221,7 +221,7 @@
         window_start = self.now - self.state.settings.release.exposure_window
         sent = [
             (at, request_class, build)
-            for build, rows in self.state.traffic.sent.items()
+            for build, rows in self.state.traffic.attempts_by_build.items()
             for at, request_class in rows
             if at >= window_start
         ]
@@ -251,7 +251,7 @@
             return
         own = {statistic: llr_sum for statistic, llr_sum in enumerate(test.sums.own) if llr_sum.outcomes}
         instance = self.state.settings.instance
-        rows = {PeerIncarnation(instance, self.state.incarnation): own, **test.sums.by_peer}
+        rows = {PeerIncarnation(instance, self.state.incarnation): own, **test.sums.sums_by_peer}
         for (peer, incarnation), sums in rows.items():
             ratios = {
                 statistic: RatioSum(value, min(MAX_OUTCOMES, outcomes))
