--- a/gatebank/cli/capture/compare.py
+++ b/gatebank/cli/capture/compare.py
@@ -14,7 +14,7 @@
 from gatebank.cli.terminal import end_cleanly, warn_all
 
 # Maximum number of differing exchanges in the text output; --json prints all examples that were kept.
-SHOWN_EXAMPLES = 20
+MAX_SHOWN_EXAMPLES = 20
 Quantiles = Mapping[str, float]
 
 
@@ -74,7 +74,7 @@
         print(f"{number:>10} {name.replace('_', ' ')}")
     for (before, after), number in comparison.changes.most_common():
         print(f"{number:>10} {before} became {after}")
-    for request_class, key, before, after in comparison.examples[:SHOWN_EXAMPLES]:
+    for request_class, key, before, after in comparison.examples[:MAX_SHOWN_EXAMPLES]:
         print(f"{'':>10} {printable(request_class, 20)} {printable(key, 30)}: {before}, then {after}")
     for name, values in latency_quantiles(comparison).items():
         print(quantile_line(name, values))
--- a/gatebank/cli/capture/cut.py
+++ b/gatebank/cli/capture/cut.py
@@ -49,7 +49,7 @@
 
     Args:
         source: The capture.
-        selection: Which exchanges are chosen.
+        selection: Filter of the exchanges.
         out: The file to write; the file appears only when it is complete.
         whole_streams: Whether to copy all packets of the connections that have chosen exchanges.
 
@@ -107,7 +107,7 @@
     partial = out.with_name(out.name + ".part")
     try:
         with partial.open("wb") as file:
-            writer = PacketCopy(file)
+            writer = PacketCopyWriter(file)
             for packet in read_chosen_packets(source, chosen, whole_streams):
                 writer.write(packet)
             writer.finish()
@@ -134,13 +134,13 @@
             if connection is None or connection.number not in chosen.spans:
                 continue
             # Packets that open or close a connection are always copied: they affect the results of exchanges.
-            marks_end = reading.segment and reading.segment.flags & (SYN | FIN | RST)
+            opens_or_closes = reading.segment and reading.segment.flags & (SYN | FIN | RST)
             spans = chosen.spans[connection.number]
-            if whole_streams or marks_end or is_in_span(spans, reading.packets.packet_count):
+            if whole_streams or opens_or_closes or is_in_span(spans, reading.packets.packet_count):
                 yield packet
 
 
-class PacketCopy:
+class PacketCopyWriter:
     """Writes packets to a pcapng file with one interface per link type and side.
 
     Attributes:
--- a/gatebank/cli/capture/ledger.py
+++ b/gatebank/cli/capture/ledger.py
@@ -15,7 +15,7 @@
 from gatebank.replay.ledger import Ledger
 
 # Maximum number of entries without a known result in the text output; --json lists all of them.
-SHOWN_ENTRIES = 50
+MAX_SHOWN_ENTRIES = 50
 
 
 def run(folder: Path, as_json: bool) -> None:
@@ -39,7 +39,7 @@
     print(f"{len(entries):>10} names (a request with an idempotency key has two)")
     for name, number in sorted(results.items()):
         print(f"{number:>10} {name.replace('_', ' ')}")
-    for entry in unsure[:SHOWN_ENTRIES]:
+    for entry in unsure[:MAX_SHOWN_ENTRIES]:
         print(f"unsure since {utc_time(entry.at)}: {entry.name.hex()}")
 
 
--- a/gatebank/cli/capture/replay_output.py
+++ b/gatebank/cli/capture/replay_output.py
@@ -18,10 +18,10 @@
 # --json lists more.
 MAX_LISTED = 50
 ALWAYS_SHOWN = ("read", "offered")  # Counts that are printed even if they are zero.
-REASONS = {"withheld": "withheld_why", "not_offered": "not_offered_why"}
+REASON_COUNTS = {"withheld": "withheld_why", "not_offered": "not_offered_why"}
 OTHER_COUNTS = ("left_out_other_side", "not_whole", "out_of_order", "asked_again", "left_unsure_before")
-LATENCIES = ("latency_ms", "late_ms")
-ERRORS = ("reader_trouble", "ledger_trouble")
+LATENCY_NAMES = ("latency_ms", "late_ms")
+ERROR_NAMES = ("reader_trouble", "ledger_trouble")
 Report = Mapping[str, Any]  # Report entries by their names in the --json output.
 
 
@@ -36,14 +36,14 @@
         sys.stdout.buffer.write(orjson.dumps(report) + b"\n")
     else:
         print_counts(report)
-        for name in LATENCIES:
+        for name in LATENCY_NAMES:
             print(quantile_line(name.removesuffix("_ms"), report[name]))
         print_listed(report["listed"])
     sys.stdout.flush()
     if report["stopped"]:
         warn(f"ended early: {report['stopped']}")
         raise typer.Exit(INTERRUPTED_STATUS if report["stopped"] == "interrupted" else INCOMPLETE_STATUS)
-    errors = [report[name] for name in ERRORS if report[name]]
+    errors = [report[name] for name in ERROR_NAMES if report[name]]
     if report["unsure"] or errors:
         for error in errors:
             warn(error)
@@ -55,7 +55,7 @@
     for name in replay_report.ENDS:
         if report[name] or name in ALWAYS_SHOWN:
             print_count(report[name], name)
-    for name, reasons in REASONS.items():
+    for name, reasons in REASON_COUNTS.items():
         for reason, number in report[reasons].items():
             print_count(number, f"{name}: {reason}")
     for name in OTHER_COUNTS:
--- a/gatebank/cli/capture/replay_session.py
+++ b/gatebank/cli/capture/replay_session.py
@@ -149,8 +149,8 @@
         ),
     )
     await open_transport(player, plan)
-    for number in (signal.SIGINT, signal.SIGTERM):
-        player.loop.add_signal_handler(number, player.stop, "interrupted")
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        player.loop.add_signal_handler(signal_number, player.stop, "interrupted")
     sys.setswitchinterval(READER_SWITCH_INTERVAL)
     reader.start()
     async with progress_shown(player, plan.exchanges):
--- a/gatebank/cli/fleet_logs.py
+++ b/gatebank/cli/fleet_logs.py
@@ -147,7 +147,7 @@
 def read_logs(paths: list[Path]) -> FleetCounts:
     """Read all logs and return their counts; show progress if standard error is a terminal."""
     counts = FleetCounts()
-    with byte_progress(paths, shown=True) as advance:
+    with byte_progress(paths, is_enabled=True) as advance:
         for path in paths:
             with path.open(errors="replace") as file:
                 counts.add_log(report_progress(file, advance))
--- a/gatebank/cli/keys.py
+++ b/gatebank/cli/keys.py
@@ -29,10 +29,10 @@
 def check_installed() -> None:
     """Refuse all commands of this group if the library `cryptography` is not installed."""
     if importlib.util.find_spec("cryptography") is None:
-        refuse("keys need the extra gatebank[learning]; cryptography is missing")
+        exit_with_error("keys need the extra gatebank[learning]; cryptography is missing")
 
 
-def refuse(reason: object) -> NoReturn:
+def exit_with_error(reason: object) -> NoReturn:
     """End the command with status 2 and a one-line message on standard error."""
     typer.echo(f"gatebank: {reason}".replace("\n", " "), err=True)
     raise typer.Exit(2)
@@ -50,7 +50,7 @@
             os.fsync(file.fileno())
         temporary.replace(path)
     except OSError as error:
-        refuse(f"{path}: {error.strerror}")
+        exit_with_error(f"{path}: {error.strerror}")
 
 
 @app.command("authority")
@@ -64,7 +64,7 @@
     from gatebank.keys import folder as key_folder
 
     if (folder / AUTHORITY_KEY).exists():
-        refuse(f"{folder / AUTHORITY_KEY}: already exists; a new authority needs a new folder")
+        exit_with_error(f"{folder / AUTHORITY_KEY}: already exists; a new authority needs a new folder")
     key_pair = authority.make_authority(title, days=days)
     write_file(folder / AUTHORITY_KEY, key_pair.key, PRIVATE_MODE)
     write_file(folder / key_folder.AUTHORITY_FILE, key_pair.certificate)
@@ -92,9 +92,9 @@
         key_pair = authorities.issue_instance_keys(signer, name, days=days)
         trusted = signer.certificate + b"".join(path.read_bytes() for path in trust or ())
     except OSError as error:
-        refuse(f"{error.filename}: {error.strerror}")
+        exit_with_error(f"{error.filename}: {error.strerror}")
     except (ValueError, TypeError) as error:
-        refuse(f"{authority}: {error}")
+        exit_with_error(f"{authority}: {error}")
     write_file(folder / key_folder.AUTHORITY_FILE, trusted)
     write_file(folder / key_folder.KEY_FILE, key_pair.key, PRIVATE_MODE)
     write_file(folder / key_folder.CERTIFICATE_FILE, key_pair.certificate)
@@ -113,7 +113,7 @@
     try:
         rows = [(path, certificate) for path in paths for certificate in read_certificates(path.read_bytes())]
     except (OSError, ValueError) as error:
-        refuse(f"{file}: {getattr(error, 'strerror', None) or error}")
+        exit_with_error(f"{file}: {getattr(error, 'strerror', None) or error}")
     for path, certificate in rows:
         kind = "authority" if certificate.is_authority else "instance"
         validity = f"{certificate.valid_from:%Y-%m-%d %H:%M} to {certificate.valid_until:%Y-%m-%d %H:%M}"
@@ -132,7 +132,7 @@
     try:
         keys = key_folder.read_keys(folder)
     except key_folder.KeyFolderError as error:
-        refuse(error)
+        exit_with_error(error)
     print(f"{folder}: {keys.name}, until {keys.instance.valid_until:%Y-%m-%d %H:%M}")
     warnings = keys.expiry_warnings(datetime.now(UTC))
     for warning in warnings:
--- a/gatebank/cli/learn.py
+++ b/gatebank/cli/learn.py
@@ -56,22 +56,22 @@
     build: int
 
 
-def refuse(reason: object) -> NoReturn:
+def exit_with_error(reason: object) -> NoReturn:
     """End the command with status 2 and a one-line message on standard error."""
     typer.echo(f"gatebank: {reason}".replace("\n", " "), err=True)
     raise typer.Exit(2)
 
 
-def load_or_refuse(source: str, keys: Path | None, configuration: Path | None) -> list[StateItem]:
+def load_items_or_exit(source: str, keys: Path | None, configuration: Path | None) -> list[StateItem]:
     """Return the items of a source, the most valuable first; if they cannot be loaded, end the command."""
     try:
         from gatebank.cli.state_sources import StateSourceError, load_items
     except ModuleNotFoundError as error:
-        refuse(f"learn needs the extra gatebank[learning]: {error}")
+        exit_with_error(f"learn needs the extra gatebank[learning]: {error}")
     try:
         return load_items(source, keys, configuration)
     except StateSourceError as error:
-        refuse(error)
+        exit_with_error(error)
 
 
 def default_weight(item: StateItem) -> float | None:
@@ -156,7 +156,7 @@
     configuration: ConfigurationOption = None,
 ) -> None:
     """Print the items of a source with their age, origin and present weight."""
-    items = load_or_refuse(source, keys, configuration)
+    items = load_items_or_exit(source, keys, configuration)
     if not as_json:
         print_items(items)
         return
@@ -192,8 +192,8 @@
 
     Ages, weights and numbers of observations are not compared.
     """
-    first_items = fields_by_identity(load_or_refuse(first_source, keys, configuration))
-    second_items = fields_by_identity(load_or_refuse(second_source, keys, configuration))
+    first_items = fields_by_identity(load_items_or_exit(first_source, keys, configuration))
+    second_items = fields_by_identity(load_items_or_exit(second_source, keys, configuration))
     for key in sorted(first_items.keys() | second_items.keys()):
         first = first_items.get(key)
         second = second_items.get(key)
--- a/gatebank/cli/state_sources.py
+++ b/gatebank/cli/state_sources.py
@@ -68,10 +68,10 @@
     if path.exists():
         return by_priority(read_snapshot(path))
     try:
-        where = parse_address(source, "source")
+        address = parse_address(source, "source")
     except ConfigurationError as error:
         raise StateSourceError(f"{error}, and no such file") from error
-    return by_priority(asyncio.run(request_items(source, where, keys_folder, configuration)))
+    return by_priority(asyncio.run(request_items(source, address, keys_folder, configuration)))
 
 
 def read_snapshot(path: Path) -> list[StateItem]:
@@ -95,7 +95,7 @@
 
 
 async def request_items(
-    source: str, where: Address, keys_folder: Path | None, configuration: Path | None
+    source: str, address: Address, keys_folder: Path | None, configuration: Path | None
 ) -> list[StateItem]:
     """Request all items from an instance as a receiver does; the instance decides whether to permit it."""
     try:
@@ -107,7 +107,9 @@
     try:
         async with asyncio.timeout(ANSWER_TIMEOUT):
             # A busy source serves its clients first, and its refusal says when to retry.
-            while (reply := await request_items_once(where, context, hello, source)).retry_after is not None:
+            while (
+                reply := await request_items_once(address, context, hello, source)
+            ).retry_after is not None:
                 late_reason = "busy"
                 await asyncio.sleep(reply.retry_after)
     except TransferProtocolError as error:
@@ -127,7 +129,7 @@
 
 
 async def request_items_once(
-    where: Address, context: ssl.SSLContext | None, hello: Hello, source: str
+    address: Address, context: ssl.SSLContext | None, hello: Hello, source: str
 ) -> SourceReply:
     """Open one connection to an instance and return its reply.
 
@@ -136,8 +138,8 @@
     tls = TlsStream(context, is_server=False) if context else None
     conversation = Conversation(hello)
     items: list[StateItem] = []
-    with contextlib.closing(Connection.for_address(where, tls)) as connection:
-        await connection.connect(where, ANSWER_TIMEOUT)
+    with contextlib.closing(Connection.for_address(address, tls)) as connection:
+        await connection.connect(address, ANSWER_TIMEOUT)
         await connection.send(conversation.hello() + encode_frame(FrameKind.ASK, Ask()))
         while not conversation.ended:
             data = await connection.read()
--- a/gatebank/cli/terminal.py
+++ b/gatebank/cli/terminal.py
@@ -55,18 +55,18 @@
 
 
 @contextlib.contextmanager
-def byte_progress(paths: Iterable[Path], shown: bool) -> Iterator[Callable[[int], None]]:
+def byte_progress(paths: Iterable[Path], is_enabled: bool) -> Iterator[Callable[[int], None]]:
     """Show a progress bar for reading files on standard error, if standard error is a terminal.
 
     Args:
         paths: The files that will be read. Only regular files count towards the total, which is unknown if
             there are none.
-        shown: Whether to show a progress bar.
+        is_enabled: Whether to show a progress bar.
 
     Yields:
         A function to call with the number of bytes just read.
     """
-    if not (shown and sys.stderr.isatty()):
+    if not (is_enabled and sys.stderr.isatty()):
         yield lambda size: None
         return
     from rich.console import Console  # Imported here because the import is slow and rarely needed.
--- a/gatebank/operator_config/child.py
+++ b/gatebank/operator_config/child.py
@@ -53,7 +53,13 @@
 
 @dataclass(frozen=True)
 class CallSite:
-    """Position of a section call in the script; the line is 0 if the position is unknown."""
+    """Position of a section call in the script; the line is 0 if the position is unknown.
+
+    Attributes:
+        section: Name of the section.
+        line: Line of the call.
+        field_lines: Lines of the fields by field name.
+    """
 
     section: str
     line: int = 0
@@ -164,9 +170,9 @@
     text = re.sub(rf"\b({names})__\d+", r"\1", error_text)
     if call_error := CALL_ERROR.search(text):
         return {"line": int(call_error.group(1)), "why": call_error.group(2)}
-    places = STARLARK_POSITION.findall(text)
+    positions = STARLARK_POSITION.findall(text)
     errors = STARLARK_ERROR.findall(text) or [text.strip().split("\n")[0]]
-    return {"line": int(places[-1]) if places else 0, "why": errors[0]}
+    return {"line": int(positions[-1]) if positions else 0, "why": errors[0]}
 
 
 def evaluate(text: str, file_name: str, sections: Sequence[str]) -> dict[str, Any]:
--- a/gatebank/operator_config/operators_file.py
+++ b/gatebank/operator_config/operators_file.py
@@ -69,7 +69,7 @@
 
     def find_all(self, kind: type[SectionT]) -> list[SectionT]:
         """Return all sections of a type, in the order of the file."""
-        return [placed.section for placed in self.sections if isinstance(placed.section, kind)]
+        return [entry.section for entry in self.sections if isinstance(entry.section, kind)]
 
     def find(self, kind: type[SectionT]) -> SectionT | None:
         """Return the first section of a type, or None if the file has none."""
@@ -116,9 +116,9 @@
         if call_errors := kind.find_errors(call):
             errors += call_errors
             continue
-        earlier = next((placed for placed in sections if isinstance(placed.section, kind)), None)
+        earlier = next((entry for entry in sections if isinstance(entry.section, kind)), None)
         if kind.once and earlier:
-            reason = f"{call.section} stands twice, first in line {earlier.line}"
+            reason = f"{call.section} is called twice, first in line {earlier.line}"
             errors.append(SectionError(call.line, reason))
         sections.append(SectionWithLine(kind.build(call), call.line))
     return sections, errors
