--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -460,7 +460,7 @@
         measurement.expire_traffic(state)
         state.traffic.update_rates(state.now - state.started_at, measurement.RATE_WINDOWS)
         if state.now >= state.fleet.received_at + rollout.REPORT_LIFETIME_S:
-            state.fleet.forget_report()
+            state.fleet.drop_report()
         if state.test:
             evidence.update_busy_until(state)
         self._tick_count += 1
--- a/gatebank/core/endpoint_table.py
+++ b/gatebank/core/endpoint_table.py
@@ -48,15 +48,15 @@
 
         Endpoints that are draining, gone or missing from a complete list are no longer ready.
         """
-        listed = {} if complete else dict(self.by_index)
+        states = {} if complete else dict(self.by_index)
         for endpoint in endpoints:
             state = self.by_index.get(endpoint.index)
             if state is None or not self._same_process(state.listed, endpoint):
                 state = EndpointState(endpoint)
             state.listed = endpoint
-            listed[endpoint.index] = state
+            states[endpoint.index] = state
         self.by_index = {
-            index: state for index, state in listed.items() if state.listed.condition is not Condition.GONE
+            index: state for index, state in states.items() if state.listed.condition is not Condition.GONE
         }
         by_hash = sorted(self.by_index.values(), key=lambda state: state.listed.name_hash)
         self.ready = [state for state in by_hash if state.listed.condition is Condition.READY]
--- a/gatebank/core/fleet_view.py
+++ b/gatebank/core/fleet_view.py
@@ -54,7 +54,7 @@
         """Return the mean seconds per answer by request class; 0 for a class without answers."""
         return [load.answer_time / load.answer_rate if load.answer_rate else 0.0 for load in self.loads]
 
-    def forget_report(self) -> None:
+    def drop_report(self) -> None:
         """Drop a fleet report that no fuser has renewed; this instance then uses its own measurements."""
         self.report = None
         self.baseline_latency = {}
--- a/gatebank/core/measurement.py
+++ b/gatebank/core/measurement.py
@@ -121,7 +121,7 @@
     errors: list[BaselineErrors],
     outcomes: Iterable[tuple[int, bool]],
     healthy: bool,
-    fade: float,
+    decay: float,
     recent_weight: float,
 ) -> None:
     """Update the baseline's error counts by an outcome.
@@ -131,10 +131,10 @@
         outcomes: pairs of a statistic and whether the outcome is bad in that statistic.
         healthy: whether the endpoint fails rarely; bad outcomes of endpoints that fail often do not raise the
             recent rate.
-        fade: the factor by which the counts decay with each outcome.
+        decay: the factor by which the counts decay with each outcome.
         recent_weight: the weight of an outcome in the recent rate.
     """
     for statistic, bad in outcomes:
         row = errors[statistic]
         recent = row.recent_rate + ((bad and healthy) - row.recent_rate) * recent_weight
-        errors[statistic] = BaselineErrors(row.bad * fade + bad, row.total * fade + 1, recent)
+        errors[statistic] = BaselineErrors(row.bad * decay + bad, row.total * decay + 1, recent)
--- a/gatebank/core/traffic.py
+++ b/gatebank/core/traffic.py
@@ -35,7 +35,7 @@
 
 
 class Traffic:
-    """Sliding windows of requests and attempts; `forget` drops old entries.
+    """Sliding windows of requests and attempts; `expire` drops old entries.
 
     Attributes:
         arrivals: requests by tenant.
@@ -65,7 +65,7 @@
             window = self.attempts_by_build[build] = SlidingWindow()
         return window
 
-    def forget(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
+    def expire(self, *, exposure_before: float, arrivals_before: float, rates_before: float) -> None:
         """Drop entries that are older than the given times."""
         for window in (self.accepted, *self.attempts_by_build.values()):
             window.expire(exposure_before)
--- a/gatebank/policy/measurement.py
+++ b/gatebank/policy/measurement.py
@@ -35,7 +35,7 @@
 def expire_traffic(state: BalancerState) -> None:
     """Drop traffic counts that are older than the windows."""
     window = state.settings.release.exposure_window
-    state.traffic.forget(
+    state.traffic.expire(
         exposure_before=state.now - window - EXPOSURE_MARGIN_S,
         arrivals_before=state.now - max(RATE_WINDOW_S, window + EXPOSURE_MARGIN_S),
         rates_before=state.now - RATE_WINDOW_S,
--- a/gatebank/policy/outlier.py
+++ b/gatebank/policy/outlier.py
@@ -42,8 +42,10 @@
 
 def should_eject(state: BalancerState, endpoint: EndpointState, outcome: Outcome) -> bool:
     """Return whether to eject an endpoint because it fails often; health checks then decide on its return."""
-    counts = outcome not in NEUTRAL_OUTCOMES and not endpoint.ejected
-    return counts and endpoint.failure_rate >= EJECTION_FAILURE_RATE and may_eject_one_more(state, endpoint)
+    is_relevant = outcome not in NEUTRAL_OUTCOMES and not endpoint.ejected
+    return (
+        is_relevant and endpoint.failure_rate >= EJECTION_FAILURE_RATE and may_eject_one_more(state, endpoint)
+    )
 
 
 def may_eject_one_more(state: BalancerState, endpoint: EndpointState) -> bool:
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -53,10 +53,10 @@
 
     The first fuser sends it. A later fuser takes over when it has received no fleet report for some time.
     """
-    me = state.settings.instance
+    instance = state.settings.instance
     fleet = state.fleet
-    own_turn = me <= fleet.sender or fleet.received_at < state.now - RELAY_SILENCE_S
-    return me in fusers(state.settings.instance_count) and own_turn
+    own_turn = instance <= fleet.sender or fleet.received_at < state.now - RELAY_SILENCE_S
+    return instance in fusers(state.settings.instance_count) and own_turn
 
 
 def held_up_classes(state: BalancerState) -> set[int]:
@@ -124,16 +124,16 @@
         return None
     voting = state.voting
     voting.prefer(verdict, state.now)
-    standing = voting.current_vote(state.test)
+    current = voting.current_vote(state.test)
     due = voting.renew_at
-    if verdict is not standing:
+    if verdict is not current:
         due = voting.preferred_since + _vote_delay(state, max(1, needed.get(verdict, 1)), many=many)
     if verdict is not Verdict.ROLL_BACK:
         due = max(due, voting.voted_at + MIN_VOTE_INTERVAL_S)
     # Where no votes to promote are required, the release service advances the stages by time.
-    in_vain = verdict is Verdict.PROMOTE and not policy.promote_votes
-    nothing_to_say = in_vain or (verdict is Verdict.NONE and standing is not Verdict.PROMOTE)
-    return None if state.now < due or nothing_to_say else verdict
+    is_unneeded = verdict is Verdict.PROMOTE and not policy.promote_votes
+    has_nothing_to_vote = is_unneeded or (verdict is Verdict.NONE and current is not Verdict.PROMOTE)
+    return None if state.now < due or has_nothing_to_vote else verdict
 
 
 def _vote_delay(state: BalancerState, needed: int, *, many: bool) -> float:
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -109,4 +109,4 @@
     if width >= size or settings.instance_count * width < MIN_COVERAGE * size:
         return state.sample(endpoints, min(2, size))
     first = int(settings.instance * GOLDEN_RATIO % 1.0 * size)
-    return [endpoints[(first + at) % size] for at in state.sample(range(int(width)), 2)]
+    return [endpoints[(first + offset) % size] for offset in state.sample(range(int(width)), 2)]
--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -34,7 +34,7 @@
             none.
         last_bytes_at: Loop time at which bytes were last handled.
         has_sent_command: Whether a whole command has arrived.
-        closing: Whether reading has ended; `check_clocks` closes the connection.
+        closing: Whether reading has ended; `check_timeouts` closes the connection.
         consecutive_bad_commands: Number of consecutive commands that could not be carried out.
         read_delay: Seconds for which the commands that were read last had waited in the kernel's buffer; 0.0
             if the wait was shorter than `limits.MIN_COUNTED_WAIT_S`.
@@ -59,7 +59,7 @@
         self.consecutive_bad_commands = 0
         self.read_delay = 0.0
         self.client_disconnected = False
-        self.answers_written = asyncio.Event()  # Set when all replies so far are written.
+        self.replies_written = asyncio.Event()  # Set when all replies so far are written.
         self.reader = asyncio.ensure_future(self.read())
 
     @property
@@ -94,7 +94,7 @@
                     self.recording.record_request_bytes(recorded_bytes)
                 self.measure_read_delay()
                 command_count = await self.handle_commands()
-                self.update_partial_command_clocks(command_count)
+                self.update_partial_command_times(command_count)
                 self.is_handling_read = False
                 # More bytes may be waiting. A read that finds bytes at once does not yield to other tasks.
                 if command_count != 1:
@@ -123,8 +123,8 @@
         command_count = 0
         for arguments in self.parse_commands():
             while len(self.replies) >= limits.MAX_PIPELINED or self.unwritten:
-                self.answers_written.clear()
-                await self.answers_written.wait()
+                self.replies_written.clear()
+                await self.replies_written.wait()
             self.handle_command(arguments)
             command_count += 1
             # Other clients are served first: repeated bad commands delay their sender alone.
@@ -132,7 +132,7 @@
                 await asyncio.sleep(limits.BAD_COMMAND_PAUSE_S * self.consecutive_bad_commands)
         return command_count
 
-    def update_partial_command_clocks(self, command_count: int) -> None:
+    def update_partial_command_times(self, command_count: int) -> None:
         """Update the times that the timeouts of an incomplete command count from.
 
         Args:
@@ -190,7 +190,7 @@
 
         The client counts as gone (PROTOCOL): no further attempts are sent for its requests in flight. A
         client that still reads gets all its replies, including those that it has not taken yet; afterwards
-        `check_clocks` or `on_written` ends the connection.
+        `check_timeouts` or `on_written` ends the connection.
         """
         for reply in list(self.replies):
             self.downstream.handler.on_client_disconnect(reply)
@@ -204,7 +204,7 @@
             self.close()
 
     def close_with_error(self, reason: str) -> None:
-        """Stop reading and queue an error reply behind those in flight; `check_clocks` closes later."""
+        """Stop reading and queue an error reply behind those in flight; `check_timeouts` closes later."""
         self.downstream.report_protocol_error(reason)
         self.start_closing()
         self.add_pending_reply().fail(reason)
@@ -214,7 +214,7 @@
 
         The connection is closed at once, since only a close informs the client: the kernel resets a
         connection that has unread bytes. Replies that the client is slow to take are written first; then
-        `check_clocks` closes the connection.
+        `check_timeouts` closes the connection.
         """
         if not has_unsent_bytes(self.sock):
             self.close()
@@ -231,7 +231,7 @@
 
     # Timeouts.
 
-    def check_clocks(self, now: float, is_crowded: bool) -> None:
+    def check_timeouts(self, now: float, is_crowded: bool) -> None:
         """Check this connection's timeouts and act on those that are over.
 
         Args:
@@ -334,7 +334,7 @@
     def on_written(self) -> None:
         """Handle that all replies so far are written."""
         self.timeout_start = self.loop.time()
-        self.answers_written.set()
+        self.replies_written.set()
         if self.closing and self.idle:
             with suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
--- a/gatebank/proxy/downstream/listener.py
+++ b/gatebank/proxy/downstream/listener.py
@@ -111,14 +111,14 @@
 
     # Overload.
 
-    async def check_clocks(self) -> None:
+    async def check_timeouts(self) -> None:
         """Check all connections' timeouts periodically; runs until the task is cancelled."""
         while True:
             await asyncio.sleep(limits.CHECK_INTERVAL_S)
             now = self.loop.time()
             is_crowded = 2 * len(self.connections) > self.max_connections
             for connection in list(self.connections):
-                connection.check_clocks(now, is_crowded)
+                connection.check_timeouts(now, is_crowded)
             self.close_surplus_idle()
 
     def close_surplus_idle(self) -> None:
--- a/gatebank/proxy/http.py
+++ b/gatebank/proxy/http.py
@@ -25,9 +25,9 @@
         may_have_arrived: True if the server may have carried out the call nevertheless.
     """
 
-    def __init__(self, reason: str, arrived: bool) -> None:
+    def __init__(self, reason: str, may_have_arrived: bool) -> None:
         super().__init__(reason)
-        self.may_have_arrived = arrived
+        self.may_have_arrived = may_have_arrived
 
 
 class HttpReply(NamedTuple):
--- a/gatebank/proxy/service.py
+++ b/gatebank/proxy/service.py
@@ -247,7 +247,7 @@
         stack.callback(self.supervisor.close)
         self.supervisor.start("accept", self.downstream.accept)
         self.supervisor.start("tend", self.sweep)
-        self.supervisor.start("look", self.downstream.check_clocks)
+        self.supervisor.start("look", self.downstream.check_timeouts)
         self.supervisor.start("reload", reloader.run)
 
     # Serving.
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -101,7 +101,7 @@
         names: Names of the balancer's indices.
         origin: This instance, as the origin of its own items.
         half_lives: Half-lives of the kinds of items.
-        received: The stored items.
+        stored_items: The stored items.
         window_known: Whether the items hold the complete last exposure window of this instance's previous
             start, from a snapshot that an orderly shutdown wrote.
     """
@@ -113,12 +113,12 @@
         self.names = names
         self.origin = origin
         self.half_lives = half_lives
-        self.received = InheritedItems()
+        self.stored_items = InheritedItems()
         self.window_known = False
 
     def put(self, items: list[StateItem], now: float) -> int:
         """Stores items that this incarnation did not observe itself; returns how many were new."""
-        return self.received.put([item for item in items if not self.is_own(item)], now)
+        return self.stored_items.put([item for item in items if not self.is_own(item)], now)
 
     def is_own(self, item: StateItem) -> bool:
         """Returns whether this incarnation itself is the item's origin, and the item was sent back to it."""
@@ -135,7 +135,9 @@
             if listed.condition is Condition.READY and name is not None:
                 processes[name] = EndpointProcess(name, listed.build, listed.started_at)
         window = self.state.settings.release.exposure_window
-        merged = merge_items(self.received.items(now), processes, self.origin.name, window, self.half_lives)
+        merged = merge_items(
+            self.stored_items.items(now), processes, self.origin.name, window, self.half_lives
+        )
         merged.window_known = self.window_known
         return merged
 
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -14,7 +14,7 @@
 from gatebank.state_transfer.items import ReleaseReport, StateItem
 from gatebank.state_transfer.protocol import Hello, deployment_id
 from gatebank.state_transfer.state_export import MAX_WINDOW_ROWS, StateExport
-from gatebank.state_transfer.weighting import HalfLives, OwnRelease, strictly_tighter
+from gatebank.state_transfer.weighting import HalfLives, OwnRelease, stricter_report
 
 # Seconds for which encoded items are reused for further receivers. REUSE_TIME is added to the age of every
 # exported item, so that a reused item never appears younger to its receiver than it is.
@@ -31,7 +31,7 @@
         deployment: Id of the deployment, see `protocol.deployment_id`.
         incarnation: Random number of this start. The balancer's own incarnation number is not used, because
             it is the same after a restart if the configuration sets a seed.
-        received: Number of received items that were new.
+        new_item_count: Number of received items that were new.
         started_at: Time of the start on the balancer's clock.
         inherited: The received items.
     """
@@ -43,7 +43,7 @@
         self.name = name
         self.deployment = deployment_id(dispatcher.settings)
         self.incarnation = int.from_bytes(os.urandom(INCARNATION_BYTES), "big")
-        self.received = 0
+        self.new_item_count = 0
         self.started_at = self.clock()
         self.names = IndexNames(dispatcher.settings, dispatcher.registry.names)
         self.origin = Origin(name, self.incarnation)
@@ -71,7 +71,7 @@
         """
         items: list[StateItem] = []
         export = StateExport(
-            self.balancer.state, self.names, self.origin, self.clock(), self.inherited.received
+            self.balancer.state, self.names, self.origin, self.clock(), self.inherited.stored_items
         )
         for exported in export.slices(include_window=include_window):
             items += [item.older(REUSE_TIME) for item in exported]
@@ -85,7 +85,7 @@
     def receive(self, items: list[StateItem]) -> int:
         """Stores items that a source sent; returns how many were new."""
         new_items = self.inherited.put(items, self.clock())
-        self.received += new_items
+        self.new_item_count += new_items
         return new_items
 
     def merge(self) -> None:
@@ -108,7 +108,7 @@
         own = None
         if status and status.build is not None and status.phase is not None:
             own = OwnRelease(status.build, int(status.phase), status.cap)
-        if stricter := strictly_tighter(report, own):
+        if stricter := stricter_report(report, own):
             log_kv(
                 "learnt_news", logging.WARNING, build=stricter.build, phase=stricter.phase, by=stricter.origin
             )
--- a/gatebank/state_transfer/session.py
+++ b/gatebank/state_transfer/session.py
@@ -114,7 +114,7 @@
     def status_counts(self) -> dict[str, int | str]:
         """Returns the counters for the `standing` log line, by their log keys."""
         return {
-            "learnt": self.state.received,
+            "learnt": self.state.new_item_count,
             "donations": self.receiver.completed,
             "donors_failed": self.receiver.failed,
             "taught": self.source.limiter.completed,
--- a/gatebank/state_transfer/source_selection.py
+++ b/gatebank/state_transfer/source_selection.py
@@ -95,7 +95,7 @@
         self.random = Random(seed)
         self.started_at = 0.0
         self.required_transfers = min(CONCURRENT_SOURCES, len(self.sources))
-        self.received = 0
+        self.completed_transfers = 0
         self.attempts = 0
 
     def begin(self, now: float) -> list[ConnectToSource]:
@@ -107,7 +107,7 @@
         """Returns the connections to make, so that enough transfers are complete or in progress."""
         connections: list[ConnectToSource] = []
         in_progress = sum(progress.in_progress for progress in self.sources.values())
-        missing = self.required_transfers - self.received - in_progress
+        missing = self.required_transfers - self.completed_transfers - in_progress
         available = [
             candidate
             for candidate in self.sources.values()
@@ -128,7 +128,7 @@
     def on_received(self, source: str, now: float) -> list[ConnectToSource]:
         """Handles a complete transfer; returns the next connections."""
         self.end_attempts(source)
-        self.received += 1
+        self.completed_transfers += 1
         return self.next_connections(now)
 
     def on_failed(self, source: str, now: float, retry_after: float | None = None) -> list[ConnectToSource]:
@@ -162,7 +162,7 @@
         """Returns whether the instance may serve clients without waiting any longer."""
         in_progress = any(progress.in_progress for progress in self.sources.values())
         return (
-            self.received >= self.required_transfers
+            self.completed_transfers >= self.required_transfers
             or not in_progress
             or now - self.started_at >= self.patience
         )
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -143,7 +143,7 @@
         sums: Sums of sequential tests.
         baseline: Failures of the baseline build by name of the statistic.
         latencies: Usual latencies.
-        release: The newest release report; `strictly_tighter` decides whether it is used.
+        release: The newest release report; `stricter_report` decides whether it is used.
         sent: Attempts of this instance's earlier starts within the exposure window.
         admitted: Requests that this instance's earlier starts admitted within the exposure window.
         window_known: Whether `sent` and `admitted` are complete, from a snapshot written at shutdown.
@@ -373,7 +373,7 @@
     cap: float | None
 
 
-def strictly_tighter(report: ReleaseReport | None, own: OwnRelease | None) -> ReleaseReport | None:
+def stricter_report(report: ReleaseReport | None, own: OwnRelease | None) -> ReleaseReport | None:
     """Returns the report if it allows less than this instance's own release status, otherwise None.
 
     Until the release service has answered, this instance treats a newer build as in its first stage anyway
@@ -381,9 +381,9 @@
 
     >>> back = ReleaseReport(origin="m", age=1.0, build=4, stage=1, phase=1, cap=0.0)
     >>> on = ReleaseReport(origin="m", age=1.0, build=4, stage=2, phase=0, cap=0.6)
-    >>> strictly_tighter(back, OwnRelease(4, 0, 0.2)) is back
+    >>> stricter_report(back, OwnRelease(4, 0, 0.2)) is back
     True
-    >>> strictly_tighter(on, OwnRelease(4, 0, 0.2)), strictly_tighter(on, OwnRelease(3, 2, 1.0))
+    >>> stricter_report(on, OwnRelease(4, 0, 0.2)), stricter_report(on, OwnRelease(3, 2, 1.0))
     (None, None)
     """
     if report is None:
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -157,7 +157,7 @@
     def median(
         self,
         key: MedianKey,
-        counts: Callable[[EndpointState], bool],
+        is_member: Callable[[EndpointState], bool],
         value_of: Callable[[EndpointState], float],
         empty: float,
     ) -> float:
@@ -165,14 +165,14 @@
 
         Args:
             key: The value and the group.
-            counts: Whether an endpoint belongs to the group.
+            is_member: Whether an endpoint belongs to the group.
             value_of: The value of an endpoint.
             empty: The result if the group is empty.
         """
         found = self._medians.get(key)
         if found is None:
-            values = OrderStatistics(value_of(endpoint) for endpoint in self.endpoints if counts(endpoint))
-            found = self._medians[key] = values, counts
+            values = OrderStatistics(value_of(endpoint) for endpoint in self.endpoints if is_member(endpoint))
+            found = self._medians[key] = values, is_member
         return found[0].median(empty)
 
     def value_changed(self, value: str, endpoint: EndpointState, old: float | None, new: float) -> None:
@@ -186,8 +186,8 @@
         """
         if not self._medians or not self.contains(endpoint):
             return
-        for key, (values, counts) in self._medians.items():
-            if key.value != value or not counts(endpoint):
+        for key, (values, is_member) in self._medians.items():
+            if key.value != value or not is_member(endpoint):
                 continue
             if old is None:
                 values.add(new)
--- a/gatebank/statistics/order_statistics.py
+++ b/gatebank/statistics/order_statistics.py
@@ -32,10 +32,10 @@
         Raises:
             KeyError: The old value is not in the collection.
         """
-        at = bisect_left(self.values, old)
-        if at == len(self.values) or self.values[at] != old:
+        index = bisect_left(self.values, old)
+        if index == len(self.values) or self.values[index] != old:
             raise KeyError(old)
-        del self.values[at]
+        del self.values[index]
         insort(self.values, new)
 
     def add(self, value: float) -> None:
--- a/gatebank/statistics/outstanding_attempts.py
+++ b/gatebank/statistics/outstanding_attempts.py
@@ -63,17 +63,17 @@
         return len(self._by_endpoint)
 
     def count_silent(
-        self, is_silent: Callable[[EndpointT], bool], counts: Callable[[EndpointT], bool]
+        self, is_silent: Callable[[EndpointT], bool], is_included: Callable[[EndpointT], bool]
     ) -> int:
         """Return the number of silent endpoints.
 
         Args:
             is_silent: Whether an endpoint is silent.
-            counts: Whether to count an endpoint.
+            is_included: Whether to count an endpoint.
         """
         found = 0
         for endpoint in self._by_endpoint:
             if not is_silent(endpoint):
                 break
-            found += counts(endpoint)
+            found += is_included(endpoint)
         return found
