--- a/gatebank/recording/__init__.py
+++ b/gatebank/recording/__init__.py
@@ -1,12 +1,12 @@
-"""An instance writes its exchanges to pcapng files, without ever waiting for them.
+"""Records an instance's exchanges to pcapng files; the service never waits for the writes.
 
-section.py        `recording(...)` in the operators' file
-recorder.py       what the service hands over: a queue, and the thread that empties it
-packet_writer.py  what connections carried as pcapng blocks; no I/O
-redaction.py      what is to be hidden, replaced; no I/O
-output.py         the file that is written to, and what happens when it can't be
-rotation.py       which files there are, when the next one begins and which are removed; no I/O
-errors.py         why a recording can't begin
+section.py        the `recording(...)` section of the operators' file
+recorder.py       the queue that the service fills, and the thread that writes its events
+packet_writer.py  encodes the bytes of connections as pcapng blocks; no I/O
+redaction.py      replaces values that must not be recorded; no I/O
+output.py         the current output file, and retries after write errors
+rotation.py       file names, file rotation and removal of old files; no I/O
+errors.py         the error raised if a recording cannot start
 
-Not imported unless the operators' file has such a section.
+The package is imported only if the operators' file has a `recording(...)` section.
 """
--- a/gatebank/recording/errors.py
+++ b/gatebank/recording/errors.py
@@ -8,12 +8,12 @@
 
 
 class RecordingError(GatebankError):
-    """A recording can't begin as the operators' file asks.
+    """A recording cannot start as configured in the operators' file.
 
     Attributes:
         field: The field of the operators' file that names the path.
-        path: The file or folder that is at fault.
-        reason: What is wrong with it.
+        path: The file or folder with the problem.
+        reason: A description of the problem.
     """
 
     def __init__(self, field: str, path: Path, reason: str) -> None:
--- a/gatebank/recording/output.py
+++ b/gatebank/recording/output.py
@@ -1,4 +1,4 @@
-"""The file that a recording is written to. A folder that can't be written to is tried again later."""
+"""Output file of a recording. After a write error, writing to the folder is retried with a growing delay."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from gatebank.recording.packet_writer import file_header
 from gatebank.recording.rotation import FileRotation, StoredFile
 
-FIRST_RETRY = 5.0  # s before a failed folder is tried again; each time twice as long
-MAX_RETRY = 60.0  # s
+FIRST_RETRY = 5.0  # Seconds until the first retry after an error; the delay doubles with each retry.
+MAX_RETRY = 60.0  # Maximum delay between retries, in seconds.
 NS_PER_SECOND = 1e9
-CLOSED = -1  # instead of a descriptor
+CLOSED = -1  # Placeholder for the descriptor while no file is open.
 
 
 @dataclass(slots=True)
 class RecordingCounts:
-    """Counters of a recording, by the names that the log prints: pieces of data written, and not written."""
+    """Counts of data events that were written and not written; the log prints the field names."""
 
     recorded: int = 0
     not_recorded: int = 0
 
 
 class RecordingOutput:
-    """Owns the file at hand, given back in `close`. Used by the recorder's thread alone.
+    """Owns the current output file until `close`. Only the recorder's thread uses this class.
 
     Args:
-        folder: Where the files are.
-        rotation: When the next file begins, and which are removed.
-        counts: The recording's counters; this counts what was written and what could not be.
-        clock: ns of Unix time.
+        folder: The folder of the recording's files.
+        rotation: Decides when a new file starts and which old files are removed.
+        counts: The recording's counters, updated here with written and unwritten data events.
+        clock: Returns the Unix time in nanoseconds.
 
     Attributes:
-        has_failed: The last attempt to write failed.
-        retry_at: s of the monotonic clock: until then a failed folder is not tried again.
-        size: Bytes of the file at hand.
+        has_failed: Whether the last attempt to write failed.
+        retry_at: Earliest time of the next attempt after an error, in seconds of the monotonic clock.
+        size: Size of the current file in bytes.
     """
 
     def __init__(
@@ -54,16 +54,16 @@
         self._counts = counts
         self._clock = clock
         self._descriptor = CLOSED
-        self._opened_at = 0.0  # s of the monotonic clock
+        self._opened_at = 0.0  # In seconds of the monotonic clock.
         self._next_retry = FIRST_RETRY
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a file at hand."""
+        """Whether an output file is open."""
         return self._descriptor != CLOSED
 
     def write(self, blocks: list[bytes], count: int) -> None:
-        """Writes whole blocks, in which are ``count`` pieces of data. What can't be written is counted."""
+        """Write complete blocks with ``count`` data events; on an error, count the events as not recorded."""
         now = time.monotonic()
         if not self.is_open and now < self.retry_at:
             self._counts.not_recorded += count
@@ -79,13 +79,13 @@
             self._fail(now, error)
 
     def close(self) -> None:
-        """Closes the file at hand."""
+        """Close the current file."""
         if self.is_open:
             os.close(self._descriptor)
         self._descriptor = CLOSED
 
     def _append(self, data: bytes) -> None:
-        """Writes all of it, or nothing: a full disk may have taken a part, and no half block stays."""
+        """Append all of ``data`` or nothing: a partial write to a full disk is truncated away."""
         written = os.write(self._descriptor, data)
         if written < len(data):
             os.ftruncate(self._descriptor, self.size)
@@ -94,7 +94,7 @@
 
     def _check_still_there(self) -> None:
         if not os.fstat(self._descriptor).st_nlink:
-            raise OSError(errno.ENOENT, "the file is gone")
+            raise OSError(errno.ENOENT, "the output file was deleted")
 
     def _fail(self, now: float, error: OSError) -> None:
         self.close()
@@ -105,7 +105,7 @@
         self._next_retry = min(2 * self._next_retry, MAX_RETRY)
 
     def _begin_next_file(self, now: float) -> None:
-        """Opens the next file, and removes the oldest."""
+        """Open the next file and remove the oldest files beyond the limits."""
         self.close()
         entries = [entry for entry in os.scandir(self._folder) if entry.is_file()]
         files = [StoredFile(entry.name, entry.stat().st_size) for entry in entries]
--- a/gatebank/recording/packet_writer.py
+++ b/gatebank/recording/packet_writer.py
@@ -1,6 +1,6 @@
-"""What connections carried as pcapng blocks. No I/O.
+"""Encodes the bytes of connections as pcapng blocks. No I/O.
 
-Bytes stand in the file as they were, or as `redaction.py` writes them where something is hidden.
+The file contains the bytes as transmitted or, if the recording hides values, as rewritten by `redaction.py`.
 """
 
 from __future__ import annotations
@@ -11,24 +11,25 @@
 from gatebank.capture.writing import Conversation, interface_block, packet_block, section_block
 from gatebank.recording.redaction import RedactedDirection, Redaction
 
-INTERFACES = {"customer": 0, "node": 1}  # by an instance's side, in the order that `file_header` gives them
+INTERFACES = {"customer": 0, "node": 1}  # Interface number by side; in the order of `file_header`.
 LEFT_OUT_COMMENT = "left out from here on: it can't be read, and may hold what is to be hidden"
 SEQUENCE_MASK = 0xFFFFFFFF
 
-ConnectionEnds = tuple[tuple[str, int], tuple[str, int]]  # address and port of who opened it, of who accepted
+# Address and port of the side that opened the connection, then of the side that accepted it.
+ConnectionEnds = tuple[tuple[str, int], tuple[str, int]]
 
 
 class ConnectionWriter:
-    """A connection in a recording.
+    """Encodes one connection of a recording.
 
-    Its methods append blocks to ``blocks``: generators cost as much again, for each of thousands a second.
-    Times are ns of Unix time; side 0 is who opened the connection, side 1 who accepted it.
+    The methods append blocks to ``blocks``: generators would double the cost, with thousands of calls per
+    second. Times are nanoseconds of Unix time; side 0 opened the connection, side 1 accepted it.
 
     Args:
-        ends: Who opened the connection, and who accepted it.
-        number: A number that no other connection of the recording has.
-        side: The instance's side: "customer" or "node".
-        redaction: What is hidden.
+        ends: Addresses of the side that opened the connection and of the side that accepted it.
+        number: The connection's number, unique within the recording.
+        side: "customer" for a client's connection, "node" for a connection to an endpoint.
+        redaction: Which values are hidden.
     """
 
     def __init__(self, ends: ConnectionEnds, number: int, side: str, redaction: Redaction) -> None:
@@ -41,11 +42,11 @@
             self._redacted = (RedactedDirection(redaction, True), RedactedDirection(redaction, False))
 
     def write_open(self, blocks: list[bytes], at: int) -> None:
-        """The connection was opened."""
+        """Append the opening of the connection."""
         self._write(blocks, at, self._conversation.open())
 
     def write_data(self, blocks: list[bytes], side: int, at: int, data: bytes, comment: str) -> None:
-        """One side sent these bytes."""
+        """Append the bytes that ``side`` sent; the comment is attached to the last packet."""
         if self._redacted is not None:
             direction = self._redacted[side]
             was_left_out = direction.is_left_out
@@ -58,7 +59,7 @@
             self._write_comment(blocks, side, at, comment)
 
     def write_gap(self, blocks: list[bytes], missing: tuple[int, int], at: int) -> None:
-        """So many bytes of each direction were not recorded: numbers go on as if they had been."""
+        """Note the number of unrecorded bytes of each direction and advance the sequence numbers by it."""
         sequences = self._conversation.sequences
         for side, size in enumerate(missing):
             if not size:
@@ -69,20 +70,20 @@
             self._write_comment(blocks, side, at, f"{size} bytes before this were not recorded")
 
     def write_close(self, blocks: list[bytes], side: int, at: int, abrupt: bool, comment: str) -> None:
-        """One side ended the connection."""
+        """Append the end of the connection by ``side``; ``abrupt`` means by a reset."""
         self._write(blocks, at, self._conversation.close(side, abrupt), comment)
 
     def _write(self, blocks: list[bytes], at: int, packets: list[bytes], comment: str = "") -> None:
-        """Packets of one moment; the comment stands on the last."""
+        """Append packets with the same timestamp; the comment is attached to the last packet."""
         for packet in packets[:-1]:
             blocks.append(packet_block(self._interface, at, packet))
         blocks.append(packet_block(self._interface, at, packets[-1], None, comment))
 
     def _write_comment(self, blocks: list[bytes], side: int, at: int, comment: str) -> None:
-        """A comment on an acknowledgement that carries nothing."""
+        """Append a comment, attached to an acknowledgement without data."""
         self._write(blocks, at, [self._conversation.segment(side, ACK)], comment)
 
 
 def file_header(name: str) -> bytes:
-    """A file's first blocks: one interface for each side, by whose name reading knows it."""
+    """Return the first blocks of a file: one interface per side; readers identify the side by its name."""
     return section_block(f"marshal {name}") + interface_block("customers") + interface_block("nodes")
--- a/gatebank/recording/recorder.py
+++ b/gatebank/recording/recorder.py
@@ -1,7 +1,8 @@
-"""The recorder: what the service hands over is queued, and written by a thread; the service never waits.
+"""Recorder: the service queues events and a thread writes them, so that the service never waits.
 
-The queue is bounded in bytes: what does not fit is counted, and the file says where. A batch of whole blocks
-is one write, so that a killed process leaves a file that is readable up to its last whole block.
+The queue is bounded in bytes: data that does not fit is counted, and a comment in the file marks the gap. A
+batch of complete blocks is written at once, so that the file of a killed process is readable up to its last
+complete block.
 """
 
 from __future__ import annotations
@@ -26,18 +27,20 @@
 from gatebank.recording.rotation import FileRotation
 from gatebank.recording.section import Recording
 
-BATCH_INTERVAL = 0.05  # s between batches: a batch shares one write, and a killed process loses so much
-SWITCH_INTERVAL = 0.001  # s that the thread may hold the interpreter: 5 ms would show in every response
-BLOCKS_PER_WRITE = 64  # blocks that are made before the service may have its turn
-EVENT_OVERHEAD = 200  # bytes that a queued event takes besides its data
-STOP_TIMEOUT = 2.0  # s for what is queued when the service ends
-MIN_KEY_BYTES = 16  # of a key file
-NOTHING_MISSING = [0, 0]  # bytes of each direction
-OTHERS_MODE = 0o077  # bits of a file's mode that let others in
+# Seconds between batches: the events of a batch share one write, and a killed process loses one interval.
+BATCH_INTERVAL = 0.05
+# Seconds that a thread may hold the interpreter: the default of 5 ms would delay every response noticeably.
+SWITCH_INTERVAL = 0.001
+BLOCKS_PER_WRITE = 64  # Blocks encoded before the thread yields the interpreter to the service.
+EVENT_OVERHEAD = 200  # Memory of a queued event in addition to its data and comment, in bytes.
+STOP_TIMEOUT = 2.0  # Seconds to write the queued events when the service ends.
+MIN_KEY_BYTES = 16  # Minimum length of the key in a key file.
+NOTHING_MISSING = [0, 0]  # Unrecorded bytes of each direction.
+OTHERS_MODE = 0o077  # File mode bits that grant access to the group and to others.
 
 
 class EventKind(Enum):
-    """What was heard of a connection."""
+    """Type of an event of a connection."""
 
     OPENED = auto()
     DATA = auto()
@@ -46,22 +49,22 @@
 
     @property
     def is_end(self) -> bool:
-        """Whether nothing comes behind it."""
+        """Whether this is the last event of its connection."""
         return self in (EventKind.CLOSED, EventKind.RESET)
 
 
 class RecordedEvent(NamedTuple):
-    """Something heard of a connection, in the queue.
+    """A queued event of a connection.
 
     Attributes:
         connection: The connection.
-        kind: What it is.
-        side: Who did it: 0 opened the connection, 1 accepted it.
-        at: ns of Unix time.
+        kind: The type of the event.
+        side: The side that caused the event: 0 opened the connection, 1 accepted it.
+        at: Time of the event in nanoseconds of Unix time.
         data: The bytes sent.
-        comment: A comment on the last packet.
-        missing: Bytes of each direction before this that were not recorded; None if there are none.
-        queued_bytes: What it counts in the queue.
+        comment: A comment for the last packet of the event.
+        missing: Unrecorded bytes of each direction before this event; None if there are none.
+        queued_bytes: The event's share of the queue's size limit.
     """
 
     connection: RecordedConnection
@@ -75,16 +78,16 @@
 
 
 class RecordedConnection:
-    """A connection, as the service tells what it hears of it.
+    """Recording of one connection; the service calls its methods for the connection's events.
 
     Args:
-        recorder: The recorder.
-        side: The instance's side: "customer" or "node".
-        ends: Who opened the connection, and who accepted it.
-        number: A number that no other connection has.
+        recorder: The recorder that queues the events.
+        side: "customer" for a client's connection, "node" for a connection to an endpoint.
+        ends: Addresses of the side that opened the connection and of the side that accepted it.
+        number: The connection's number, unique within the recording.
 
     Attributes:
-        missing: Bytes of each direction that were not recorded, since the last that were.
+        missing: Unrecorded bytes of each direction since the last queued event.
     """
 
     __slots__ = ("_recorder", "ends", "missing", "number", "side")
@@ -98,33 +101,33 @@
         recorder.put(self, EventKind.OPENED, 0)
 
     def record_request_bytes(self, data: bytes, comment: str = "") -> None:
-        """Bytes of who opened the connection: a client, or this instance to an endpoint."""
+        """Record bytes sent by side 0: by a client, or by this instance to an endpoint."""
         self._recorder.put(self, EventKind.DATA, 0, data, comment)
 
     def record_reply_bytes(self, data: bytes, comment: str = "") -> None:
-        """Bytes of who accepted the connection."""
+        """Record bytes sent by side 1, which accepted the connection."""
         self._recorder.put(self, EventKind.DATA, 1, data, comment)
 
     def record_end(self, side: int, abrupt: bool = False, comment: str = "") -> None:
-        """One side ended the connection; ``abrupt``: by a reset."""
+        """Record that ``side`` ended the connection; ``abrupt`` means by a reset."""
         kind = EventKind.RESET if abrupt else EventKind.CLOSED
         self._recorder.put(self, kind, side, b"", comment)
 
 
 class Recorder:
-    """Owns the queue, and the thread that empties it.
+    """Owns the event queue and the thread that writes the queued events.
 
     Args:
-        recording: What the operators' file says.
-        folder: The folder of the operators' file: relative paths begin there.
+        recording: The `recording(...)` section of the operators' file.
+        folder: The folder of the operators' file; relative paths are resolved against it.
         name: The instance's name.
 
     Attributes:
-        counts: Pieces of data that were recorded, and that were not.
-        output: The file that is written to.
+        counts: Counts of data events that were recorded and not recorded.
+        output: The output files.
 
     Raises:
-        RecordingError: The key file can't be used.
+        RecordingError: The key file cannot be used.
     """
 
     def __init__(self, recording: Recording, folder: Path, name: str) -> None:
@@ -149,29 +152,31 @@
         self._clock_offset = time.time_ns() - time.monotonic_ns()
         self.output = RecordingOutput(self._folder, rotation, self.counts, self._now)
         self._queue: deque[RecordedEvent] = deque()
-        # Each is written by one thread alone: the service's, and the recorder's.
+        # Only the service's thread changes `_bytes_put`; only the recorder's thread changes `_bytes_taken`.
         self._bytes_put = 0
         self._bytes_taken = 0
         self._last_number = 0
-        self._writers: dict[RecordedConnection, ConnectionWriter] = {}  # the thread's; each goes at its end
+        self._writers: dict[
+            RecordedConnection, ConnectionWriter
+        ] = {}  # Used only by the recorder's thread; an entry is removed at its connection's end.
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run, name="recorder", daemon=True)
 
     @property
     def queued_bytes(self) -> int:
-        """Bytes that wait in the queue."""
+        """Number of bytes in the queue."""
         return self._bytes_put - self._bytes_taken
 
     @property
     def open_count(self) -> int:
-        """Connections that the thread writes."""
+        """Number of connections with a writer."""
         return len(self._writers)
 
     def start(self) -> None:
-        """Starts the thread.
+        """Create the folder and start the thread.
 
         Raises:
-            RecordingError: The folder can't be made.
+            RecordingError: The folder cannot be created.
         """
         try:
             self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -182,30 +187,30 @@
         log_kv("recording", folder=self._folder, sides=",".join(sorted(self._sides)))
 
     def stop(self) -> None:
-        """Writes what is queued, within STOP_TIMEOUT."""
+        """Stop the thread after it has written the queued events, or after STOP_TIMEOUT."""
         self._stopping.set()
         self._thread.join(STOP_TIMEOUT)
 
     def status_counts(self) -> dict[str, int | str]:
-        """The counters for the log line on how things stand."""
+        """Return the counters and the state for the periodic status log line."""
         return asdict(self.counts) | {"recorder": "failed" if self.output.has_failed else "writing"}
 
-    # The service's side: none of this waits.
+    # Called by the service's thread; none of these methods blocks.
 
     def record_client(self, sock: socket.socket) -> RecordedConnection | None:
-        """A client's connection that was accepted; None if that side is not recorded."""
+        """Start recording an accepted client connection; None if client connections are not recorded."""
         return self._connection("customer", lambda: (sock.getpeername(), sock.getsockname()))
 
     def record_endpoint(self, sock: socket.socket) -> RecordedConnection | None:
-        """A connection to an endpoint; None if that side is not recorded."""
+        """Start recording a connection to an endpoint; None if these connections are not recorded."""
         return self._connection("node", lambda: (sock.getsockname(), sock.getpeername()))
 
     def put(
         self, connection: RecordedConnection, kind: EventKind, side: int, data: bytes = b"", comment: str = ""
     ) -> None:
-        """Queues an event, or counts it as not recorded if the queue is full.
+        """Queue an event; if the queue is full, drop the event and count its data as not recorded.
 
-        An end is always queued: by it the thread forgets the connection.
+        The end of a connection is always queued, because the thread then removes the connection's writer.
         """
         size = len(data) + len(comment) + EVENT_OVERHEAD
         if self._bytes_put - self._bytes_taken + size > self._max_queued_bytes and not kind.is_end:
@@ -226,21 +231,21 @@
             return None
         try:
             opener, accepter = read_ends()
-        except OSError:  # it is gone already
+        except OSError:  # The connection has already ended.
             return None
         self._last_number += 1
         return RecordedConnection(self, side, (opener[:2], accepter[:2]), self._last_number)
 
     def _now(self) -> int:
-        """Ns of Unix time that never go back, as the service's clock."""
+        """Return the Unix time in nanoseconds; it never goes backwards, like the service's clock."""
         return time.monotonic_ns() + self._clock_offset
 
-    # The thread's side.
+    # Called by the recorder's thread.
 
     def write_batch(self) -> None:
-        """Writes all that is queued."""
+        """Write all queued events."""
         blocks: list[bytes] = []
-        count = 0  # pieces of data in them
+        count = 0  # Number of data events in `blocks`.
         while self._queue:
             event = self._queue.popleft()
             self._bytes_taken += event.queued_bytes
@@ -251,7 +256,7 @@
                 self.output.write(blocks, count)
                 blocks = []
                 count = 0
-                time.sleep(0)  # the service's turn
+                time.sleep(0)  # Yields the interpreter to the service's thread.
         if blocks:
             self.output.write(blocks, count)
 
@@ -262,11 +267,11 @@
         self.output.close()
 
     def _add_blocks(self, blocks: list[bytes], event: RecordedEvent) -> bool:
-        """Adds an event's blocks; False if that failed, and its connection is recorded no further."""
+        """Append an event's blocks; on an error, drop the connection's writer and return False."""
         size_before = len(blocks)
         try:
             self._write_event(blocks, event)
-        except Exception as error:  # a fault with one connection must not cost the others their recording
+        except Exception as error:  # An error of one connection must not end the recording of the others.
             del blocks[size_before:]
             self._writers.pop(event.connection, None)
             log_kv("recorder_fault", logging.ERROR, why=repr(error))
@@ -293,7 +298,7 @@
 
 
 def file_name_part(name: str) -> str:
-    """An instance's name without what has a meaning in file names.
+    """Return the name with each character that is unsafe in file names replaced by an underscore.
 
     >>> file_name_part("m/1"), file_name_part("")
     ('m_1', 'marshal')
@@ -303,10 +308,12 @@
 
 
 def read_key(recording: Recording, folder: Path) -> bytes:
-    """The key of hashes, so that nobody finds a tenant by trying names; empty if none is named.
+    """Read the key of the hashes; return empty bytes if no key file is configured.
+
+    Without a key, a tenant could be identified by hashing candidate names.
 
     Raises:
-        RecordingError: The key file can't be read, is too short, or others may read it.
+        RecordingError: The key file cannot be read, is too short, or is accessible to other users.
     """
     if not recording.key_file:
         return b""
--- a/gatebank/recording/redaction.py
+++ b/gatebank/recording/redaction.py
@@ -1,8 +1,8 @@
-"""What must not stand in a recording, replaced. No I/O.
+"""Replaces values that must not be recorded. No I/O.
 
-Where something is hidden, each direction of a connection is read as RESP2 and written anew: lengths fit what
-stands there, so that any tool, and `gatebank capture`, reads it. What can't be read so, or lies behind bytes
-that were not recorded, is left out: an unread byte may belong to an idempotency key.
+If a recording hides values, each direction of a connection is parsed as RESP2 and encoded again with the
+replaced values and their lengths, so that `gatebank capture` and other tools can read the file. Bytes that
+cannot be parsed, and all bytes after unrecorded ones, are left out: they may belong to an idempotency key.
 """
 
 from __future__ import annotations
@@ -13,23 +13,22 @@
 from gatebank.capture.records import BODY, PARAMETERS
 from gatebank.proxy.resp2 import codec as resp
 
-MAX_MESSAGE_BYTES = (
-    4 << 20
-)  # of a message that is written anew: behind a larger one its direction is left out
-HASH_BYTES = 16  # of a hash in a value's place: two values never share one in practice
-MAX_HASH_KEY_BYTES = 64  # that blake2b takes
+# Maximum size of a parsed message; a larger message and all later bytes of its direction are left out.
+MAX_MESSAGE_BYTES = 4 << 20
+HASH_BYTES = 16  # Length of a hash; long enough to make collisions negligible.
+MAX_HASH_KEY_BYTES = 64  # Maximum key length of blake2b.
 NULL = b"$-1\r\n"
 
 
 @dataclass(slots=True, frozen=True)
 class Redaction:
-    """What does not stand in the file as it was.
+    """Defines which values are replaced in a recording, and how.
 
     Attributes:
-        bodies: What happens to bodies and values: "whole", "cut" or "hashed".
-        body_bytes: How many bytes are left of those that are cut.
-        idempotency_keys: Idempotency keys are replaced by hashes.
-        tenants: Tenants are replaced by hashes.
+        bodies: How bodies and values are recorded: "whole", "cut" or "hashed".
+        body_bytes: Number of bytes kept of a body or value that is cut.
+        idempotency_keys: Whether idempotency keys are replaced by hashes.
+        tenants: Whether tenants are replaced by hashes.
         hash_key: The key of all hashes.
     """
 
@@ -41,11 +40,11 @@
 
     @property
     def hides_nothing(self) -> bool:
-        """Whether all bytes stand in the file as they were."""
+        """Whether all bytes are recorded unchanged."""
         return self.bodies == "whole" and not self.idempotency_keys and not self.tenants
 
     def value(self, value: bytes) -> bytes:
-        """What stands in the place of a body or a value.
+        """Return the replacement for a body or a value.
 
         >>> Redaction("cut", 3).value(b"secret"), Redaction("hashed").value(b"secret")[:16]
         (b'sec', b'hidden:6:8f64bfc')
@@ -57,7 +56,7 @@
         return value
 
     def parameters(self, parameters: bytes) -> bytes:
-        """What stands in the place of a command's parameters.
+        """Return a command's parameters with the hidden values replaced.
 
         >>> redaction = Redaction(idempotency_keys=True, tenants=True, hash_key=b"k" * 16)
         >>> redaction.parameters(b"c=pay,t=all,d=5,k=1f")[:16]
@@ -66,7 +65,7 @@
         return b",".join(map(self._parameter, parameters.split(b",")))
 
     def command(self, arguments: list[bytes]) -> bytes:
-        """The command as it stands in the file, with its framing."""
+        """Encode the command with the hidden values replaced."""
         shown = list(arguments)
         if len(shown) > PARAMETERS:
             shown[PARAMETERS] = self.parameters(shown[PARAMETERS])
@@ -74,7 +73,7 @@
         return resp.encode_command(shown)
 
     def reply(self, reply: resp.Reply) -> bytes:
-        """The response as it stands in the file, with its framing."""
+        """Encode the reply with the hidden values replaced."""
         if reply.type_byte == "*":
             return self._array(reply.values)
         word = reply.values[0]
@@ -83,7 +82,7 @@
         return reply.type_byte.encode() + bytes(word or b"") + b"\r\n"
 
     def _array(self, values: list[memoryview | None]) -> bytes:
-        """An endpoint's response: its first word is the value."""
+        """Encode an endpoint's reply, an array whose first element is the value."""
         parts: list[bytes | memoryview] = [b"*%d\r\n" % len(values)]
         for place, word in enumerate(values):
             if word is None:
@@ -103,14 +102,14 @@
 
 
 class RedactedDirection:
-    """One direction of a connection, written anew; what is not complete of a message waits.
+    """Redacts one direction of a connection; keeps an incomplete message until its remaining bytes arrive.
 
     Args:
-        redaction: What is hidden.
-        has_commands: It carries commands; else responses.
+        redaction: Defines which values are hidden.
+        has_commands: Whether the direction carries commands; otherwise it carries replies.
 
     Attributes:
-        is_left_out: Nothing of it is recorded any more.
+        is_left_out: Whether recording of this direction has ended.
     """
 
     def __init__(self, redaction: Redaction, has_commands: bool) -> None:
@@ -120,12 +119,12 @@
         self._rest = b""
 
     def leave_out(self) -> None:
-        """Records nothing more of it: where a message begins is not known any more."""
+        """End recording of this direction, because the start of the next message is not known."""
         self.is_left_out = True
         self._rest = b""
 
     def redact(self, data: bytes) -> bytes:
-        """What stands in the file for these bytes: all messages that are complete with them."""
+        """Return the redacted form of all messages that ``data`` completes."""
         if self.is_left_out:
             return b""
         inbox = resp.Resp2Buffer.from_bytes(self._rest + data, MAX_MESSAGE_BYTES)
--- a/gatebank/recording/rotation.py
+++ b/gatebank/recording/rotation.py
@@ -1,6 +1,7 @@
-"""Which files of a recording there are, when the next one begins, and which are removed. No I/O.
+"""File names of a recording, rotation to a new file and removal of old files. No I/O.
 
-Names sort by time: `NAME-20261201T172338Z-000001.pcapng`; a start goes on behind the highest number there is.
+Names sort by time: `NAME-20261201T172338Z-000001.pcapng`. After a restart, numbering continues
+after the highest existing number.
 """
 
 from __future__ import annotations
@@ -35,11 +36,11 @@
     """The limits of a recording's files.
 
     Attributes:
-        name: What the files' names begin with.
-        file_bytes: The next file begins once one has so many bytes.
-        file_seconds: The next file begins once one is so old.
-        keep_files: The oldest files are removed beyond this number.
-        keep_bytes: The oldest files are removed while all together have more bytes.
+        name: Prefix of the file names.
+        file_bytes: File size in bytes at which a new file is started.
+        file_seconds: File age in seconds at which a new file is started.
+        keep_files: Maximum number of files; the oldest files beyond it are removed.
+        keep_bytes: Maximum total size in bytes; the oldest files beyond it are removed.
     """
 
     name: str
@@ -49,15 +50,15 @@
     keep_bytes: int
 
     def is_full(self, size: int, age: float) -> bool:
-        """Whether the next file begins behind one of this size in bytes and age in seconds."""
+        """Whether a file of this size in bytes and age in seconds is to be followed by a new file."""
         return size >= self.file_bytes or age >= self.file_seconds
 
     def next_name(self, names: Iterable[str], at: float) -> str:
-        """The name of the next file.
+        """Return the name of the next file.
 
         Args:
-            names: All names in the folder.
-            at: s of Unix time.
+            names: The names of all files in the folder.
+            at: The Unix time in seconds.
 
         >>> rotation = FileRotation("m", 9, 9, 9, 9)
         >>> rotation.next_name(["m-20231114T221320Z-000007.pcapng", "x.txt", "n-x-1.pcapng"], 1.7e9)
@@ -69,11 +70,11 @@
         return f"{self.name}-{time:%Y%m%dT%H%M%SZ}-{last + 1:06d}{SUFFIX}"
 
     def to_remove(self, files: Iterable[StoredFile], current: str) -> list[str]:
-        """The names of the oldest files beyond what is kept.
+        """Return the names of the oldest files beyond the limits.
 
         Args:
-            files: All files in the folder; those of others never count.
-            current: The file that is written to; it is never removed.
+            files: All files in the folder; files that are not of this recording are ignored.
+            current: The name of the file being written; it is never removed.
 
         >>> files = [StoredFile(f"m-20231114T221320Z-{n:06d}.pcapng", 40) for n in (1, 2, 3)]
         >>> files.append(StoredFile("notes.txt", 999))
@@ -99,7 +100,7 @@
         return removed
 
     def _number(self, file_name: str) -> int | None:
-        """The number of a file of this recording; None for any other file."""
+        """Return the number of a file of this recording; None for any other file."""
         match = FILE_NAME.fullmatch(file_name)
         if match is None or match["name"] != self.name:
             return None
--- a/gatebank/recording/section.py
+++ b/gatebank/recording/section.py
@@ -1,7 +1,7 @@
-"""`recording(...)` in the operators' file: what an instance writes of its exchanges, where, and for how long.
+"""The `recording(...)` section of the operators' file: which exchanges are recorded, where and how long.
 
-Field names and their values are those of the operators' file: "customer" is a client's side or a tenant,
-"node" an endpoint, "ticket" an idempotency key.
+Fields and values have their names in the operators' file: in `sides`, "customer" means connections of clients
+and "node" connections to endpoints; in `hide`, "ticket" means idempotency keys and "customer" tenants.
 """
 
 from __future__ import annotations
@@ -13,27 +13,29 @@
 
 from gatebank.operator_config.sections import Section
 
-KIB = 1 << 10  # bytes
+KIB = 1 << 10  # In bytes.
 MIB = 1 << 20
 Side = Literal["customer", "node"]
 Hidden = Literal["ticket", "customer"]
 
 
 class Recording(Section, kw_only=True, frozen=True):
-    """Without this section nothing is recorded. Relative paths begin at the operators' file's folder.
+    """Recording options; without this section nothing is recorded.
+
+    Relative paths are resolved against the folder of the operators' file.
 
     Attributes:
-        folder: Where the files are.
-        sides: Which connections are recorded: those of clients, those to endpoints, or both.
-        file_bytes: The next file begins once one has so many bytes.
-        file_seconds: The next file begins once one is so old.
-        keep_files: The oldest files are removed beyond this number.
-        keep_bytes: The oldest files are removed while all together have more bytes.
-        bodies: Bodies and values are recorded whole, cut to `body_bytes`, or as a hash in their place.
-        body_bytes: What is left of bodies and values that are cut.
-        hide: What is replaced by hashes under the key in `key_file`, the same for the same.
-        key_file: A file of at least 16 bytes that only the instance reads.
-        queue_bytes: What may wait to be written; 4 MiB is a second of 1,000 exchanges of 4 KB.
+        folder: The folder of the recorded files.
+        sides: The recorded connections: connections of clients, connections to endpoints, or both.
+        file_bytes: File size in bytes at which a new file is started.
+        file_seconds: File age in seconds at which a new file is started.
+        keep_files: Maximum number of files; the oldest files beyond it are removed.
+        keep_bytes: Maximum total size in bytes; the oldest files beyond it are removed.
+        bodies: Whether bodies and values are recorded whole, cut to `body_bytes`, or replaced by a hash.
+        body_bytes: Number of bytes kept of a body or value that is cut.
+        hide: Fields replaced by hashes with the key in `key_file`; equal values have equal hashes.
+        key_file: A file of at least 16 bytes that only the instance can read.
+        queue_bytes: Maximum size of the write queue; 4 MiB hold one second of 1,000 exchanges of 4 KB each.
     """
 
     section: ClassVar[str] = "recording"
@@ -54,7 +56,7 @@
     queue_bytes: Annotated[int, msgspec.Meta(ge=64 * KIB, le=1 << 30)] = 4 * MIB
 
     def check(self) -> Iterator[tuple[str, str]]:
-        """Fields that do not go together, and why."""
+        """Yield each field that is inconsistent with another field, with the reason."""
         if self.hide and not self.key_file:
             yield "hide", "needs key_file, a file of at least 16 bytes that only the marshal reads"
         if self.keep_bytes < self.file_bytes:
@@ -62,4 +64,4 @@
         for name in ("sides", "hide"):
             values = getattr(self, name)
             if len(set(values)) < len(values):
-                yield name, "names one twice"
+                yield name, "names a value twice"
