--- a/gatebank/replay/entries.py
+++ b/gatebank/replay/entries.py
@@ -1,8 +1,9 @@
-"""The ledger's file format: a header and entries of one size, each with its number and checksum. No I/O.
+"""The ledger's file format: a header and entries of fixed size, each with its number and checksum. No I/O.
 
-A torn tail is what a crash leaves of entries that were never synced, so that nothing was sent for them: less
-than an entry, or one whose end was never written and reads as zeros. Anything else that does not check is
-damage: a byte has changed in an entry that may stand for what was sent, and the ledger is not used.
+After a crash, a file may end with a truncated tail: a part of an entry, or an entry whose end was never
+written and reads as zeros. The tail was never synced, so that no request was sent for it. Any other checksum
+or format error is damage: a byte has changed in an entry whose request may have been sent, and the ledger is
+not used.
 """
 
 from __future__ import annotations
@@ -16,35 +17,35 @@
 from gatebank.replay.errors import LedgerDamagedError
 
 MAGIC = b"gatebank-ledger\x01"
-HEADER = struct.Struct("<16s16sI")  # magic, the ledger's own name, checksum
-HEADER_CHECKSUM = slice(32, 36)  # the header's bytes with the checksum of all before them
-# Begin mark, kind, ending, number, ns of Unix time, name, checksum of all these, end mark.
+HEADER = struct.Struct("<16s16sI")  # Magic, the ledger's own name, checksum.
+HEADER_CHECKSUM = slice(32, 36)  # Position of the checksum of all preceding header bytes.
+# Begin mark, kind, ending, number, Unix time in nanoseconds, name, checksum of all of these, end mark.
 ENTRY = struct.Struct("<BBHIQ24sIB3x")
-ENTRY_CHECKSUM = slice(40, 44)  # the entry's bytes with the checksum of all before them
-ENTRY_END = 44  # the place of the end mark
+ENTRY_CHECKSUM = slice(40, 44)  # Position of the checksum of all preceding entry bytes.
+ENTRY_END = 44  # Position of the end mark.
 ENTRY_PADDING = b"\0\0\0"
 BEGIN_MARK = 0xA6
 END_MARK = 0x5A
-MAX_LEDGER_BYTES = 1 << 31  # 44 million entries
+MAX_LEDGER_BYTES = 1 << 31  # Maximum size of a ledger's file: 44 million entries.
 
 
 class EntryKind(IntEnum):
-    """What an entry says of a name; stored."""
+    """State of a request that an entry records for a name; the numbers are stored."""
 
-    ENTERED = 1  # about to be sent
+    ENTERED = 1  # The request is about to be sent.
     ANSWERED = 2
-    FREED = 3  # known never to have left: a later replay may send it
-    UNSURE = 4  # its last byte was written and no response came
+    FREED = 3  # The request was certainly not sent; a later replay may send it.
+    UNSURE = 4  # The last byte of the request was written, but no response arrived.
 
 
 class NameState(StrEnum):
-    """What a ledger holds of a name that may not be sent; stands in verdicts."""
+    """Ledger state of a name whose request must not be sent; the guard derives its verdicts from it."""
 
     REPLAYED = "replayed"
     UNSURE = "unsure"
 
 
-ENDINGS = ("", "satisfied", "rejected", "broken_off", "none")  # by their number in an entry
+ENDINGS = ("", "satisfied", "rejected", "broken_off", "none")  # An entry stores the index.
 STATES = {
     EntryKind.ENTERED: NameState.UNSURE,
     EntryKind.ANSWERED: NameState.REPLAYED,
@@ -56,10 +57,10 @@
     """An entry of a ledger.
 
     Attributes:
-        kind: What it says.
+        kind: The recorded state of the request.
         name: The request's name, 24 bytes.
-        at: ns of Unix time.
-        ending: One of ENDINGS: how an answered request ended.
+        at: Unix time in nanoseconds.
+        ending: The outcome of an answered request, from ENDINGS.
     """
 
     kind: EntryKind
@@ -69,14 +70,14 @@
 
 
 class LedgerBook:
-    """What a ledger says, by name.
+    """Contents of a ledger by request name.
 
     Attributes:
         name: The ledger's own name; empty before the file has a header.
-        entries: The last entry of each name that was ever entered and not freed.
-        count: Entries in the file, also those of names that were freed: the next one's number.
-        size: Bytes of the file that count.
-        torn_bytes: Bytes to be cut off the file's end.
+        entries: The last entry of each name; freed names are not included.
+        count: Number of entries in the file, including entries of freed names; also the next entry's number.
+        size: Size of the valid part of the file in bytes.
+        torn_bytes: Size of the truncated tail to be removed from the end of the file.
     """
 
     def __init__(self, name: bytes) -> None:
@@ -87,12 +88,12 @@
         self.torn_bytes = 0
 
     def state_of(self, name: bytes) -> NameState | None:
-        """What the ledger holds of a name; None if it may be sent."""
+        """Return the ledger state of a name; None if its request may be sent."""
         entry = self.entries.get(name)
         return STATES[entry.kind] if entry else None
 
     def add(self, entry: LedgerEntry) -> bytes:
-        """Takes an entry into the book; the bytes that the file gets for it."""
+        """Add an entry, and return its bytes to be appended to the file."""
         data = encode_entry(self.count, entry)
         self.count += 1
         self.size += len(data)
@@ -103,18 +104,18 @@
         return data
 
     def unsure_entries(self) -> list[LedgerEntry]:
-        """The entries of requests that may have run, without a response."""
+        """Return the entries of requests that may have run and have no response."""
         return [entry for entry in self.entries.values() if STATES[entry.kind] is NameState.UNSURE]
 
 
 def encode_header(name: bytes) -> bytes:
-    """A ledger's first bytes; ``name``: 16 bytes."""
+    """Encode a ledger's header; ``name`` has 16 bytes."""
     fields = HEADER.pack(MAGIC, name, 0)[: HEADER_CHECKSUM.start]
     return fields + crc32(fields).to_bytes(4, "little")
 
 
 def encode_entry(number: int, entry: LedgerEntry) -> bytes:
-    """An entry's bytes; ``number``: how many are before it."""
+    """Encode an entry; ``number`` is the number of entries before it."""
     ending = ENDINGS.index(entry.ending)
     data = ENTRY.pack(BEGIN_MARK, entry.kind, ending, number, entry.at, entry.name, 0, END_MARK)
     fields = data[: ENTRY_CHECKSUM.start]
@@ -122,13 +123,13 @@
 
 
 def decode_ledger(data: bytes) -> LedgerBook:
-    """What all bytes of a ledger's file say.
+    """Decode all bytes of a ledger's file.
 
     Returns:
-        The book; its `torn_bytes` must be cut off the file's end.
+        The ledger's contents; the caller must remove `torn_bytes` bytes from the end of the file.
 
     Raises:
-        LedgerDamagedError: A byte has changed.
+        LedgerDamagedError: The file is damaged or is not a ledger.
 
     >>> book = LedgerBook(b"n" * 16)
     >>> whole = encode_header(book.name) + book.add(LedgerEntry(EntryKind.ENTERED, b"x" * 24, 5))
@@ -138,11 +139,11 @@
     (47, 9)
     >>> decode_ledger(whole[:70] + b"!" + whole[71:])
     Traceback (most recent call last):
-    gatebank.replay.errors.LedgerDamagedError: entry 0 does not check
+    gatebank.replay.errors.LedgerDamagedError: entry 0 is invalid
     """
     if len(data) < HEADER.size or not data[HEADER_CHECKSUM].strip(b"\0"):
         if any(data[HEADER.size :]):
-            raise LedgerDamagedError("its head is gone")
+            raise LedgerDamagedError("the header is missing")
         return _torn(LedgerBook(b""), 0, len(data))
     book = LedgerBook(_decode_header(data))
     at = HEADER.size
@@ -150,7 +151,7 @@
         part = data[at : at + ENTRY.size]
         if _is_torn(part):
             if any(data[at + ENTRY.size :]):
-                raise LedgerDamagedError(f"entry {book.count} ends in zeros, and others follow")
+                raise LedgerDamagedError(f"entry {book.count} ends in zeros, but entries follow it")
             return _torn(book, at, len(data) - at)
         book.add(_decode_entry(part, book.count))
         at += ENTRY.size
@@ -158,16 +159,16 @@
 
 
 def _decode_header(data: bytes) -> bytes:
-    """The ledger's name."""
+    """Check the header and return the ledger's own name."""
     magic, name, checksum = HEADER.unpack_from(data)
     if magic != MAGIC or crc32(data[: HEADER_CHECKSUM.start]) != checksum:
         is_ledger = magic[:-1] == MAGIC[:-1]
-        raise LedgerDamagedError("its head does not check" if is_ledger else "it is no ledger")
+        raise LedgerDamagedError("the header is invalid" if is_ledger else "the file is not a ledger")
     return bytes(name)
 
 
 def _is_torn(part: bytes) -> bool:
-    """Whether the end of this entry was never written."""
+    """Whether the end of this last entry was never written."""
     return len(part) < ENTRY.size or not (part[ENTRY_END] or _checks(part))
 
 
@@ -180,7 +181,7 @@
     is_framed = (begin, end, own_number) == (BEGIN_MARK, END_MARK, number)
     is_whole = _checks(part) and is_framed and part[ENTRY_END + 1 :] == ENTRY_PADDING
     if not is_whole or kind not in set(EntryKind) or ending >= len(ENDINGS):
-        raise LedgerDamagedError(f"entry {number} does not check")
+        raise LedgerDamagedError(f"entry {number} is invalid")
     return LedgerEntry(EntryKind(kind), name, at, ENDINGS[ending])
 
 
@@ -191,5 +192,5 @@
 
 
 def entered(names: Iterable[bytes], at: int) -> list[LedgerEntry]:
-    """The entries of a request that is about to be sent; ``at``: ns of Unix time."""
+    """Return the entries of a request that is about to be sent; ``at`` is the Unix time in nanoseconds."""
     return [LedgerEntry(EntryKind.ENTERED, name, at) for name in names]
--- a/gatebank/replay/errors.py
+++ b/gatebank/replay/errors.py
@@ -1,4 +1,4 @@
-"""Errors of replays: each means that nothing may be sent."""
+"""Errors of replays; after any of them nothing may be sent."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class ReplayError(GatebankError):
-    """Base class of errors for which nothing may be sent."""
+    """Base class of errors after which nothing may be sent."""
 
 
 class TargetRefusedError(ReplayError):
-    """Nothing at all may be sent to this target.
+    """No request may be sent to this target.
 
     Attributes:
-        target: Its address.
-        reason: Why not, in the words that users see; also the text of the error.
+        target: The target's address.
+        reason: The reason shown to users; also the text of the error.
     """
 
     def __init__(self, target: str, reason: str) -> None:
@@ -26,10 +26,10 @@
 
 
 class LedgerDamagedError(ReplayError):
-    """A ledger's bytes can't be relied on.
+    """The bytes of a ledger are damaged.
 
     Attributes:
-        reason: What is wrong with them, and where.
+        reason: The kind and position of the damage.
     """
 
     def __init__(self, reason: str) -> None:
@@ -38,11 +38,11 @@
 
 
 class LedgerError(ReplayError):
-    """A ledger can't be read or written.
+    """A ledger cannot be read or written.
 
     Attributes:
-        path: The ledger's folder, or its file.
-        reason: Why not.
+        path: The ledger's folder or file.
+        reason: The cause of the error.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
--- a/gatebank/replay/guard.py
+++ b/gatebank/replay/guard.py
@@ -1,7 +1,8 @@
-"""Whether a request may leave the program. No I/O, no memory of its own beside the ledger's book.
+"""Decides whether a request may be sent. No I/O, and no state except the ledger's contents.
 
-Nothing goes to a target that no section names. A request with an effect goes only to a rehearsal target that
-the capture does not show in service, only whole, and only if the ledger holds none of its names.
+Nothing is sent to a target without a `target(...)` section. A request with an effect is sent only to a
+rehearsal target that the capture does not show in service, only if the request was captured completely, and
+only if the ledger contains none of its names.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class WithheldReason(StrEnum):
-    """Why a request is not sent; the values stand in reports."""
+    """Reason why a request is not sent; the values appear in reports."""
 
     NOT_WHOLE = "not_whole"
     NO_REHEARSAL_TARGET = "no_rehearsal_target"
@@ -39,15 +40,15 @@
 
 
 class LedgerView(Protocol):
-    """What the guard asks of a ledger."""
+    """The ledger as the guard uses it."""
 
     def state_of(self, name: bytes) -> NameState | None:
-        """What the ledger holds of a name; None if it may be sent."""
+        """Return the ledger state of a name; None if its request may be sent."""
         ...
 
 
 class EmptyLedger:
-    """Stands for a ledger where there is none."""
+    """Ledger view without entries, used if there is no ledger."""
 
     def state_of(self, name: bytes) -> NameState | None:
         """See `LedgerView.state_of`."""
@@ -56,10 +57,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """What the guard says of a request.
+    """Decision of the guard on a request.
 
     Attributes:
-        withheld: Why it is not sent; None if it may be.
+        withheld: The reason why the request is not sent; None if it may be sent.
         names: Names that must be in the ledger before the first byte is sent.
     """
 
@@ -68,7 +69,7 @@
 
 
 def normalize_address(text: str) -> str:
-    """An address as captures write it.
+    """Parse an address and return it in the form used in captures.
 
     >>> normalize_address("127.0.0.1:6379"), normalize_address("[0:0::1]:80")
     ('127.0.0.1:6379', '[::1]:80')
@@ -77,7 +78,7 @@
 
 
 def address_text(host_and_port: Address) -> str:
-    """A parsed address as captures write it.
+    """Format a parsed address as in captures.
 
     >>> address_text(("127.0.0.1", 80)), address_text(("::1", 80))
     ('127.0.0.1:80', '[::1]:80')
@@ -87,26 +88,26 @@
 
 
 class Guard:
-    """Decides for one target.
+    """Decides which requests may be sent to one target.
 
     Args:
-        targets: All targets that the operators' file names.
+        targets: All `target(...)` sections of the operators' file.
         target: The address to send to.
-        live: Addresses that the capture shows in service, as servers.
+        live: Addresses that served requests in the capture.
 
     Attributes:
-        target: The section that names the address.
+        target: The `target(...)` section of the address.
 
     Raises:
-        TargetRefusedError: Nothing may be sent there at all.
+        TargetRefusedError: No request may be sent to this address.
     """
 
     def __init__(self, targets: Collection[Target], target: str, live: Collection[str]) -> None:
         address_to_reach = normalize_address(target)
-        matching = (each for each in targets if normalize_address(each.address) == address_to_reach)
+        matching = (entry for entry in targets if normalize_address(entry.address) == address_to_reach)
         section = next(matching, None)
         if section is None:
-            named = ", ".join(sorted(each.address for each in targets)) or "none"
+            named = ", ".join(sorted(entry.address for entry in targets)) or "none"
             reason = f"{target} is not named as a target in the operators' file (named: {named})"
             raise TargetRefusedError(target, reason)
         self.target = section
@@ -119,7 +120,7 @@
             raise TargetRefusedError(target, reason)
 
     def verdict(self, exchange: Exchange, ledger: LedgerView) -> Verdict:
-        """Whether a recorded request may be sent."""
+        """Decide whether a recorded request may be sent."""
         if not exchange.command_is_complete or len(exchange.arguments) < BODY:
             return Verdict(WithheldReason.NOT_WHOLE)
         if exchange.retry_safety is RetrySafety.IDEMPOTENT:
@@ -133,7 +134,7 @@
         return Verdict(names=names)
 
     def _reason_against_effects(self, exchange: Exchange) -> WithheldReason | None:
-        """Why a request with an effect is not sent, whatever the ledger holds."""
+        """Return why a request with an effect is withheld regardless of the ledger; None if it is not."""
         if not self.target.rehearsal:
             return WithheldReason.NO_REHEARSAL_TARGET
         if self._is_live:
--- a/gatebank/replay/identity.py
+++ b/gatebank/replay/identity.py
@@ -1,9 +1,9 @@
-"""What names a request, in whichever capture it stands. No I/O.
+"""Names that identify a request across captures. No I/O.
 
-A command's id and key pass an instance unchanged and are the same in every copy of its packets; its timeout
-is not, and body, idempotency key and tenant may have been cut or hashed by a recording. So the name is made
-of request class, key and id. A request with an idempotency key has a second name by that: whoever sends the
-key again means the same effect.
+An instance forwards a command's id and key unchanged, so that they are the same in every capture of the
+command. The command's timeout changes, and a recording may have cut or hashed the body, idempotency key and
+tenant. The name is therefore derived from request class, key and id. A request with an idempotency key has a
+second name, derived from that key, because all requests with the same idempotency key mean the same effect.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from gatebank.capture.records import ID, KEY, PARAMETERS, Exchange
 
-NAME_BYTES = 24  # two requests share a name by chance once in 2^96 pairs
-IDEMPOTENCY_KEY_BYTES = 8  # of a new key: the protocol's have as many
-MAX_HASH_KEY_BYTES = 64  # that blake2b takes
-# What kind of name it is; part of the stored names.
+NAME_BYTES = 24  # Names collide by chance after about 2^96 requests.
+IDEMPOTENCY_KEY_BYTES = 8  # Length of a new key; the protocol's keys have the same length.
+MAX_HASH_KEY_BYTES = 64  # Maximum key length of blake2b.
+# Prefixes that separate the two kinds of names; part of the stored hashes.
 REQUEST_NAME = b"invocation"
 IDEMPOTENCY_KEY_NAME = b"ticket"
 
 
 def request_names(exchange: Exchange) -> list[bytes]:
-    """All names of a request with an effect; if the ledger holds any, it is not sent.
+    """Return all names of a request with an effect; it is not sent if the ledger contains any of the names.
 
     >>> from gatebank.capture.records import Exchange
     >>> def names_of(*arguments):
@@ -49,9 +49,9 @@
 
 
 def new_idempotency_key(ledger: bytes, recorded: str) -> bytes:
-    """The key sent in place of a recorded one.
+    """Return the idempotency key sent in place of a recorded key.
 
-    Under one ledger it is the same for the same recorded key, so that repeats stay repeats.
+    With the same ledger, equal recorded keys have equal new keys, so that repetitions remain repetitions.
 
     >>> new_idempotency_key(b"one", "7") == new_idempotency_key(b"one", "7")
     True
@@ -63,12 +63,12 @@
 
 
 def replayed_arguments(exchange: Exchange, id_: bytes, idempotency_key: bytes | None) -> list[bytes]:
-    """The command as it is sent anew.
+    """Return the arguments of the command to be sent.
 
     Args:
-        exchange: The recorded one.
-        id_: Its new id.
-        idempotency_key: Its new key; None if it keeps the recorded one, or has none.
+        exchange: The recorded exchange.
+        id_: The new request id.
+        idempotency_key: The new idempotency key; None to keep the recorded key, or if the request has none.
     """
     arguments = list(exchange.arguments)
     arguments[ID] = id_
--- a/gatebank/replay/inside.py
+++ b/gatebank/replay/inside.py
@@ -1,8 +1,8 @@
-"""Requests into an instance in this process, without clients' sockets: the same dispatcher, the same policy.
+"""Passes requests to an instance in this process: the service's dispatcher and policy, but no client sockets.
 
-The instance is made of the service's own parts, but for the listener, and it sends no messages to peers: it
-is not one of the fleet's instances. Endpoints that the capture shows in service are left out of its endpoint
-list.
+The instance consists of the service's own components except the listener. It sends no messages to peers,
+because it is not one of the fleet's instances. Endpoints that the capture shows in service are removed from
+its endpoint list.
 """
 
 from __future__ import annotations
@@ -29,19 +29,19 @@
 from gatebank.replay.player import Player
 from gatebank.replay.requests import ReplayedRequest, ReplayOutcome
 
-SWEEP_INTERVAL = 1.0  # s between looks for idle connections, as in the service
-READY_POLL = 0.01  # s between looks for the first endpoint
+SWEEP_INTERVAL = 1.0  # Seconds between checks for expired idle connections, as in the service.
+READY_POLL = 0.01  # Seconds between checks for the first endpoint.
 
 
 class ResponseSlot:
-    """Stands where a client's slot does: takes the one final response. The dispatcher calls its methods.
+    """Receives the final response to one request from the dispatcher, in place of a client's response slot.
 
     Args:
-        transport: Its owner.
-        request: The request that it is for.
+        transport: The owner of the slot.
+        request: The replayed request.
 
     Attributes:
-        request: The dispatcher's; None before there is one.
+        request: The dispatcher's request; None until the dispatcher has created it.
     """
 
     __slots__ = ("_replayed", "_transport", "request")
@@ -52,33 +52,35 @@
         self._replayed = request
 
     def serve(self, value: memoryview) -> None:
-        """The request was served."""
+        """Report that the request was served."""
         self._transport.finish(self._replayed, ReplayOutcome.SERVED)
 
     def reject(self, retry_after: float | None) -> None:
-        """The request was rejected; ``retry_after``: in how many s to try again."""
+        """Report that the request was rejected; ``retry_after`` is the delay before a retry in seconds."""
         self._transport.finish(self._replayed, ReplayOutcome.REJECTED, retry_after)
 
     def fail(self, reason: str) -> None:
-        """The request failed."""
+        """Report that the request failed."""
         self._transport.finish(self._replayed, ReplayOutcome.FAILED)
 
 
 class RehearsalDispatcher(Dispatcher):
-    """The dispatcher, but endpoints in service are left out of what it hears.
+    """Dispatcher that removes endpoints in service from each endpoint list.
 
     Attributes:
-        live: Addresses that the capture shows in service.
-        left_out: Endpoints that were left out.
+        live: Addresses that served requests in the capture.
+        left_out: Number of endpoints removed, summed over all endpoint lists.
     """
 
     live: Collection[str] = ()
     left_out = 0
 
     def on_endpoint_list(self, endpoints: list[Endpoint], is_complete: bool) -> None:
-        """Takes an endpoint list; see `Dispatcher.on_endpoint_list`."""
+        """Process an endpoint list without the endpoints in service; see `Dispatcher.on_endpoint_list`."""
         addresses = self.registry.addresses
-        allowed = [each for each in endpoints if address_text(addresses[each.index]) not in self.live]
+        allowed = [
+            endpoint for endpoint in endpoints if address_text(addresses[endpoint.index]) not in self.live
+        ]
         if len(allowed) < len(endpoints):
             left_out = len(endpoints) - len(allowed)
             self.left_out += left_out
@@ -87,17 +89,17 @@
 
 
 class InProcessTransport:
-    """Owns the instance's parts, given back in `close`; see `RequestTransport`.
+    """Owns the instance's components until `close`; see `RequestTransport`.
 
     Args:
         player: The player.
-        configuration: The instance's.
-        live: Addresses that the capture shows in service.
+        configuration: The instance's configuration.
+        live: Addresses that served requests in the capture.
     """
 
     def __init__(self, player: Player, configuration: Configuration, live: Collection[str]) -> None:
         self._player = player
-        self._slots: dict[ReplayedRequest, ResponseSlot] = {}  # each goes with its response
+        self._slots: dict[ReplayedRequest, ResponseSlot] = {}  # An entry is removed at its request's outcome.
         settings = configuration.settings
         clock = Clock()
         registry = EndpointRegistry(settings)
@@ -127,22 +129,22 @@
         self._sweeper = asyncio.ensure_future(run_forever("sweep", self._sweep))
 
     async def ready(self, patience: float = 10.0) -> bool:
-        """Waits until it knows an endpoint that it may send to; False after ``patience`` s without one."""
-        for _ in range(round(patience / READY_POLL)):  # the dispatcher has no event for it
+        """Wait until a permitted endpoint is known; return False after ``patience`` seconds without one."""
+        for _ in range(round(patience / READY_POLL)):  # The dispatcher has no event for the first endpoint.
             if self._dispatcher.fleet.endpoints:
                 return True
             await asyncio.sleep(READY_POLL)
         return bool(self._dispatcher.fleet.endpoints)
 
     def refusal(self, _: Exchange) -> str:
-        """See `RequestTransport.refusal`; there is always room."""
+        """See `RequestTransport.refusal`; this transport never refuses a request."""
         return ""
 
     def send(self, request: ReplayedRequest) -> None:
         """See `RequestTransport.send`."""
-        words = [memoryview(argument) for argument in request.arguments]
+        arguments = [memoryview(argument) for argument in request.arguments]
         try:
-            client_request = parse_request(words, self._request_classes, self._tenants)
+            client_request = parse_request(arguments, self._request_classes, self._tenants)
         except CommandError as error:
             self._player.report.counts["senseless"] += 1
             log_kv("senseless", why=error)
@@ -152,18 +154,18 @@
         self._slots[request] = slot
         try:
             self._dispatcher.start_request(client_request, slot)
-        except CommandError:  # the id is in flight, which ours never are
+        except CommandError:  # The id is already in flight, which cannot happen with the player's unique ids.
             self.finish(request, ReplayOutcome.NEVER_SENT)
 
     def finish(
         self, request: ReplayedRequest, outcome: ReplayOutcome, retry_after: float | None = None
     ) -> None:
-        """Passes a request's outcome on to the player."""
+        """Pass a request's outcome to the player."""
         self._slots.pop(request, None)
         self._player.finish(request, outcome, retry_after)
 
     def give_up(self, request: ReplayedRequest) -> None:
-        """See `RequestTransport.give_up`: as a client that closes its connection."""
+        """See `RequestTransport.give_up`; the effect is that of a client closing its connection."""
         slot = self._slots.pop(request, None)
         if slot and slot.request and not slot.request.answered:
             self._dispatcher.drop_request(slot.request, "left")
--- a/gatebank/replay/ledger.py
+++ b/gatebank/replay/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger's folder: one writer by a lock, entries synced in groups before anything is sent.
+"""The ledger's folder: a lock admits one writer, and entries are synced in groups before requests are sent.
 
-`Ledger.enter` returns once its entries are on the disk. While a sync runs, what else is to be entered gathers
-and shares the next one, so that a busy replay pays a sync for many. What becomes of each request is written
-without waiting: if that is lost, the request stays *unsure*, which errs on the safe side.
+The future of `Ledger.enter` is done once its entries are on the disk. Entries added during a sync share the
+next sync, so that a busy replay needs one sync for many requests. Outcomes of requests are written without
+waiting for the disk: if an outcome is lost, the request stays *unsure* and is not sent again, which is safe.
 """
 
 from __future__ import annotations
@@ -28,20 +28,20 @@
 )
 from gatebank.replay.errors import LedgerDamagedError, LedgerError
 
-NAME_BYTES = 16  # of a ledger's own name
+NAME_BYTES = 16  # Length of a ledger's own name.
 FILE_NAME = "ledger"
 LOCK_NAME = "lock"
-MAX_HOLDER_BYTES = 32  # of the lock file: the number of the process that holds it
-READ_BYTES = 1 << 20  # read at once
-CLOSED = -1  # instead of a descriptor
+MAX_HOLDER_BYTES = 32  # Maximum bytes read from the lock file, which contains its holder's process id.
+READ_BYTES = 1 << 20  # Maximum size of one read.
+CLOSED = -1  # Placeholder for a descriptor that is not open.
 
 
 class PendingWrite(NamedTuple):
-    """Bytes that wait for the next write.
+    """Bytes to be written with the next write.
 
     Attributes:
-        data: The bytes of entries.
-        synced: Done once they are on the disk; None if nobody waits for that.
+        data: The encoded entries.
+        synced: Future that is done once the entries are on the disk; None if no task waits for the disk.
     """
 
     data: bytes
@@ -49,16 +49,16 @@
 
 
 class Ledger:
-    """Owns the lock, the file and the thread that writes to it; all are given back in `close`.
+    """Owns the lock, the file and the thread that writes to the file, until `close`.
 
     Args:
         folder: The ledger's folder.
 
     Attributes:
         path: The ledger's file.
-        book: What it says.
-        broken: Why nothing can be written any more; None while it can.
-        syncs: How often the file was synced.
+        book: The ledger's contents.
+        broken: The error that prevents further writes; None if there is none.
+        syncs: Number of syncs of the file.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -79,18 +79,18 @@
         return self.book.name
 
     def open(self) -> None:
-        """Takes the lock, reads all, cuts a torn tail off, and makes sure that the file can be written.
+        """Take the lock, read the file, remove a truncated tail, and check that the file can be written.
 
         Raises:
-            LedgerError: Any of these can't be done.
+            LedgerError: One of these steps fails.
         """
         try:
             self._open()
         except LedgerDamagedError as error:
             self.close()
             reason = (
-                f"damaged, {error}; nothing is sent. What it held may have been sent: "
-                "use a copy from before, or a new folder with captures that it never saw"
+                f"damaged, {error}; nothing is sent. The requests in it may have been sent: "
+                "use an earlier copy, or a new folder with captures that were never replayed with this ledger"
             )
             raise LedgerError(self.path, reason) from error
         except OSError as error:
@@ -102,16 +102,16 @@
         self._thread = ThreadPoolExecutor(1, "ledger")
 
     def state_of(self, name: bytes) -> NameState | None:
-        """What the ledger holds of a name; None if it may be sent."""
+        """Return the ledger state of a name; None if its request may be sent."""
         return self.book.state_of(name)
 
     def enter(self, names: Iterable[bytes]) -> asyncio.Future[None]:
-        """Enters a request that is about to be sent.
+        """Add the names of a request that is about to be sent.
 
-        The book holds its names at once, so that the same can't be entered twice meanwhile.
+        The names are in `book` immediately, so that the guard withholds another request with one of them.
 
         Returns:
-            Done once the entries are on the disk; fails with LedgerError if they can't be written.
+            A future that is done once the entries are on the disk, or fails with LedgerError.
         """
         synced: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         if self.broken:
@@ -121,11 +121,11 @@
         return synced
 
     def record_outcome(self, names: Iterable[bytes], kind: EntryKind, ending: str = "") -> None:
-        """Writes what became of a request, without waiting until it is on the disk."""
+        """Write the outcome of a request without waiting for the disk."""
         self._add([LedgerEntry(kind, name, time.time_ns(), ending) for name in names], None)
 
     async def finish(self) -> None:
-        """Writes and syncs all that is pending, and closes the ledger."""
+        """Write and sync all pending entries, and close the ledger."""
         while self._writing and not self._writing.done():
             await asyncio.wait([self._writing])
         if self._file != CLOSED and not self.broken:
@@ -136,7 +136,7 @@
         self.close()
 
     def close(self) -> None:
-        """Ends the thread, and gives the file and the lock back."""
+        """End the thread, close the file and release the lock."""
         if self._thread:
             self._thread.shutdown()
         for descriptor in (self._file, self._lock):
@@ -146,7 +146,7 @@
         self._lock = CLOSED
 
     def write(self, data: bytes, sync: bool) -> None:
-        """Writes entries at the file's end, in the ledger's thread; ``sync``: and waits for the disk."""
+        """Append entries in the ledger's thread; with ``sync``, also wait for the disk."""
         rest = memoryview(data)
         while rest:
             rest = rest[os.write(self._file, rest) :]
@@ -170,7 +170,7 @@
             self.book = LedgerBook(os.urandom(NAME_BYTES))
             os.pwrite(self._file, encode_header(self.book.name), 0)
         os.lseek(self._file, self.book.size, os.SEEK_SET)
-        os.fsync(self._file)  # also shows whether it can be written
+        os.fsync(self._file)  # Also checks that the file can be written.
         self._sync_folder()
 
     def _take_lock(self) -> None:
--- a/gatebank/replay/report.py
+++ b/gatebank/replay/report.py
@@ -1,6 +1,6 @@
-"""What became of a replay, as counts that add up and percentiles. No I/O.
+"""Report of a replay: counts of requests by outcome, and latency percentiles. No I/O.
 
-read = offered + not offered + withheld; offered = the sum of all outcomes.
+The counts add up: read = offered + not offered + withheld, and offered = the sum of all outcomes.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from gatebank.replay.requests import ReplayOutcome
 
 OUTCOME_COUNTS = tuple(outcome.value for outcome in ReplayOutcome)
-ENDS = ("read", "offered", *OUTCOME_COUNTS)  # the counts that are printed first, in their order
-NOT_OFFERED = "not_offered_"  # what the counts of its reasons begin with
+ENDS = ("read", "offered", *OUTCOME_COUNTS)  # Names of the counts that are printed first, in order.
+NOT_OFFERED = "not_offered_"  # Prefix of the counts by reason.
 RESPONSES = (ReplayOutcome.SERVED, ReplayOutcome.REJECTED, ReplayOutcome.FAILED)
-MAX_LISTED = 10_000  # withheld or unsure requests that are named, not only counted
+MAX_LISTED = 10_000  # Maximum number of withheld, not offered or unsure requests listed individually.
 US_PER_SECOND = 1e6
 
 
 class Report:
-    """Counts what became of each request.
+    """Counts the outcomes of requests.
 
     Attributes:
-        counts: By the names that reports have.
+        counts: Counts by their names in the report.
     """
 
     def __init__(self) -> None:
@@ -38,30 +38,30 @@
         self._lateness = latency_histogram()
 
     def count_read(self) -> None:
-        """An exchange was read."""
+        """Count an exchange that was read."""
         self.counts["read"] += 1
 
     def count_withheld(self, exchange: Exchange, reason: WithheldReason) -> None:
-        """The guard withheld a request."""
+        """Count a request that the guard withheld."""
         self.counts["withheld"] += 1
         self._withheld[reason.value] += 1
         if exchange.retry_safety is not RetrySafety.IDEMPOTENT:
             self.list_request("withheld", reason.value, exchange)
 
     def count_not_offered(self, exchange: Exchange, reason: str) -> None:
-        """There was no room for a request when it was due."""
+        """Count a request that could not be sent when due."""
         self.counts["not_offered"] += 1
         self.counts[NOT_OFFERED + reason] += 1
         if exchange.retry_safety is not RetrySafety.IDEMPOTENT:
             self.list_request("not offered", reason, exchange)
 
     def count_sent(self, due: float, now: float) -> None:
-        """A request was sent; both times are s of the loop's clock."""
+        """Count a sent request; both times are in seconds of the event loop's clock."""
         self.counts["offered"] += 1
         self._lateness.record_value(_microseconds(now - due))
 
     def count_outcome(self, exchange: Exchange, outcome: ReplayOutcome, due: float, now: float) -> None:
-        """A request's outcome is known; both times are s of the loop's clock."""
+        """Count the outcome of a request; both times are in seconds of the event loop's clock."""
         self.counts[outcome.value] += 1
         self._by_class[exchange.request_class or "?", outcome.value] += 1
         if outcome in RESPONSES:
@@ -70,7 +70,7 @@
             self.list_request("unsure", "sent whole, and no answer came", exchange)
 
     def list_request(self, what: str, why: str, exchange: Exchange) -> None:
-        """Names a request in the report."""
+        """List a request individually in the report."""
         if len(self._listed) >= MAX_LISTED:
             return
         self._listed.append(
@@ -85,12 +85,12 @@
         )
 
     def missing(self) -> int:
-        """How many requests are missing in the counts; 0 if they add up."""
+        """Return how many requests are missing from the counts; 0 if the counts add up."""
         accounted = self.counts["withheld"] + self.counts["not_offered"]
         return self.counts["read"] - accounted - sum(self.counts[name] for name in OUTCOME_COUNTS)
 
     def summary(self) -> dict[str, Any]:
-        """The report for programs."""
+        """Return the report as JSON data."""
         by_class: dict[str, dict[str, int]] = {}
         for (request_class, outcome), count in sorted(self._by_class.items()):
             by_class.setdefault(request_class, {})[outcome] = count
@@ -114,5 +114,5 @@
 
 
 def _microseconds(seconds: float) -> int:
-    """What a histogram takes: at least 1, at most an hour."""
+    """Convert to whole microseconds, limited to the histograms' range of 1 µs to one hour."""
     return min(MAX_LATENCY_US, max(1, int(seconds * US_PER_SECOND)))
--- a/gatebank/replay/requests.py
+++ b/gatebank/replay/requests.py
@@ -1,4 +1,4 @@
-"""A request on its way in a replay: its outcomes, and what carries it to an instance."""
+"""A replayed request, its possible outcomes, and the interface of the transports to an instance."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 
 from gatebank.capture.records import Exchange
 
-DEFAULT_TIMEOUT = 60.0  # s, of a request that names none; longer ones count as that
+DEFAULT_TIMEOUT = 60.0  # Seconds; timeout of a request without one, and maximum of all timeouts.
 MS_PER_SECOND = 1000
 
 
 class ReplayOutcome(StrEnum):
-    """What became of a request; the values stand in reports and in the ledger."""
+    """Outcome of a request; the values appear in reports and in the ledger."""
 
     SERVED = "satisfied"
     REJECTED = "rejected"
     FAILED = "broken_off"
-    NO_RESPONSE = "no_answer"  # its last byte left, or may have, and no response came
-    UNSURE = "unsure"  # the same, of a request with an effect
-    NEVER_SENT = "never_sent"  # its last byte certainly did not leave
+    NO_RESPONSE = "no_answer"  # The last byte was sent, or may have been, and no response arrived.
+    UNSURE = "unsure"  # Like NO_RESPONSE, for a request with an effect.
+    NEVER_SENT = "never_sent"  # The last byte was certainly not sent.
 
 
 @dataclass(slots=True, eq=False)
 class ReplayedRequest:
-    """One request on its way.
+    """A request being replayed.
 
     Attributes:
         exchange: The recorded exchange.
-        due: When it is due, in s of the loop's clock.
-        arguments: The command as it is sent.
-        names: Its names in the ledger; empty if it has no effect.
-        entered: Done once the names are on the disk; None if it has no effect.
-        is_sent: It was handed to the transport.
-        is_retry: It was rejected once, and is sent again.
-        is_finished: Its outcome is known; what comes later does not count.
-        timer: Ends the wait for its response.
+        due: Due time in seconds of the event loop's clock.
+        arguments: The arguments of the command to be sent.
+        names: The request's names in the ledger; empty if the request has no effect.
+        entered: Future that is done once the names are on the disk; None if the request has no effect.
+        is_sent: Whether the request was passed to the transport.
+        is_retry: Whether the request was rejected once and is sent again.
+        is_finished: Whether the outcome is known; later outcomes are ignored.
+        timer: Timer that ends the wait for the response.
     """
 
     exchange: Exchange
@@ -52,26 +52,26 @@
 
     @property
     def timeout(self) -> float:
-        """The client's timeout in s."""
+        """The recorded client's timeout in seconds, limited to DEFAULT_TIMEOUT."""
         recorded = self.exchange.timeout_ms
         return min(DEFAULT_TIMEOUT, recorded / MS_PER_SECOND) if recorded else DEFAULT_TIMEOUT
 
 
 class RequestTransport(Protocol):
-    """Carries requests to an instance, and tells the player by `Player.finish` what became of each."""
+    """Sends requests to an instance, and reports the outcome of each request by `Player.finish`."""
 
     def refusal(self, exchange: Exchange) -> str:
-        """Why it can't carry one more request now; empty if it can."""
+        """Return why another request cannot be sent now; empty if it can."""
         ...
 
     def send(self, request: ReplayedRequest) -> None:
-        """Sends a request that is due."""
+        """Send a due request."""
         ...
 
     def give_up(self, request: ReplayedRequest) -> None:
-        """Waits no longer for a request's response."""
+        """End the wait for a request's response."""
         ...
 
     def close(self) -> None:
-        """Gives back all that it owns."""
+        """Release all resources."""
         ...
--- a/gatebank/replay/schedule.py
+++ b/gatebank/replay/schedule.py
@@ -1,4 +1,4 @@
-"""What is due when: exchanges into the order of asking, and recorded time into time now. No I/O."""
+"""Sorts exchanges by request time, converts recorded times to due times, and limits the rate. No I/O."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from gatebank.capture.records import Exchange
 
-EXCHANGE_OVERHEAD = 1024  # bytes that an exchange takes besides its arguments
+EXCHANGE_OVERHEAD = 1024  # Memory of an exchange in addition to its arguments, in bytes.
 NS_PER_SECOND = 1e9
 
 
 class QueuedExchange(NamedTuple):
-    """An exchange in the heap; sorted by the first two, which are never both the same.
+    """An exchange in the heap, sorted by the first two fields; no two entries are equal in both.
 
     Attributes:
-        asked_at: ns of Unix time.
-        number: Its place in the order in which exchanges came.
+        asked_at: Request time in nanoseconds of Unix time.
+        number: Position in the order in which the exchanges were added.
         exchange: The exchange.
     """
 
@@ -27,17 +27,18 @@
 
 
 class AskingOrder:
-    """Exchanges come out of a capture as they end; here they leave in the order in which they were asked.
+    """Sorts exchanges, which a capture yields in the order of their ends, by their request times.
 
-    One leaves once the capture is ``horizon`` past its asking: reading reports none later than that. Beyond
-    ``max_bytes`` the earliest leave at once.
+    An exchange is released once the capture's time is ``horizon`` past the exchange's request time, because
+    the reader yields no exchange later than that. If the waiting exchanges exceed ``max_bytes``, the earliest
+    are released immediately.
 
     Args:
-        horizon: ns.
-        max_bytes: Memory that waiting exchanges may take.
+        horizon: Maximum time from a request until the reader yields its exchange, in nanoseconds.
+        max_bytes: Maximum memory of the waiting exchanges.
 
     Attributes:
-        late_count: Exchanges that came after a later one had left.
+        late_count: Number of exchanges released after an exchange with a later request time.
     """
 
     def __init__(self, horizon: int, max_bytes: int) -> None:
@@ -47,15 +48,15 @@
         self._held_bytes = 0
         self._heap: list[QueuedExchange] = []
         self._last_number = 0
-        self._newest = 0  # ns, of the capture
-        self._last_left = 0  # ns, when the last one that left was asked
+        self._newest = 0  # Latest time of the capture in nanoseconds.
+        self._last_left = 0  # Latest request time of a released exchange in nanoseconds.
 
     def add(self, exchange: Exchange, now: int) -> Iterator[Exchange]:
-        """Adds an exchange; those that leave with it.
+        """Add an exchange, and yield the exchanges that are released.
 
         Args:
-            exchange: The exchange; without a time of asking it is dropped.
-            now: ns, the newest time of the capture.
+            exchange: The exchange; it is dropped if it has no request time.
+            now: The latest time of the capture in nanoseconds.
         """
         self._newest = max(self._newest, now)
         if exchange.asked_at is None:
@@ -67,7 +68,7 @@
             yield self._pop()
 
     def end(self) -> Iterator[Exchange]:
-        """Tells that no more come; all that are left."""
+        """Yield all remaining exchanges, after the last one was added."""
         while self._heap:
             yield self._pop()
 
@@ -88,10 +89,10 @@
 
 
 class ReplayClock:
-    """Recorded time to time now; recorded times that go back are due at once.
+    """Converts recorded times to due times; a time before the start of the recording is due immediately.
 
     Args:
-        speed: 2 is twice as fast as recorded.
+        speed: Speed relative to the recording; 2 is twice as fast as recorded.
 
     >>> clock = ReplayClock(2.0)
     >>> clock.begin(5_000_000_000, 100.0)
@@ -101,30 +102,30 @@
 
     def __init__(self, speed: float) -> None:
         self._speed = speed
-        self._first: int | None = None  # ns of recorded time
+        self._first: int | None = None  # Recorded time of the first request in nanoseconds.
         self._start = 0.0
 
     @property
     def has_begun(self) -> bool:
-        """Whether it is known when the first is due."""
+        """Whether the clock was started with the first exchange."""
         return self._first is not None
 
     def begin(self, asked_at: int, start: float) -> None:
-        """The first exchange was asked at ``asked_at`` ns, and is due at ``start`` s."""
+        """Start the clock: the first exchange, recorded at ``asked_at`` ns, is due at ``start`` s."""
         self._first = asked_at
         self._start = start
 
     def due(self, asked_at: int) -> float:
-        """When an exchange that was asked at ``asked_at`` ns is due, in s; the clock must have begun."""
+        """Return when an exchange recorded at ``asked_at`` ns is due, in seconds; requires `begin` first."""
         first = asked_at if self._first is None else self._first
         return self._start + max(0, asked_at - first) / NS_PER_SECOND / self._speed
 
 
 class TokenBucket:
-    """At most so many a second, with a second's worth at once.
+    """Limits a rate with a token bucket that holds the tokens of one second, but at least one token.
 
     Args:
-        rate: Tokens a second.
+        rate: Tokens per second.
     """
 
     def __init__(self, rate: float) -> None:
@@ -134,7 +135,7 @@
         self._at = 0.0
 
     def take(self, now: float) -> bool:
-        """Takes a token; False if there is none. ``now``: s.
+        """Take a token; return False if there is none. ``now`` is the time in seconds.
 
         >>> bucket = TokenBucket(2.0)
         >>> [bucket.take(1.0) for _ in range(3)], bucket.take(1.5)
--- a/gatebank/replay/section.py
+++ b/gatebank/replay/section.py
@@ -1,4 +1,4 @@
-"""`target(...)` in the operators' file, whose field names it has: where a replay may send, and what."""
+"""The `target(...)` section of the operators' file: a permitted target of replays and its restrictions."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 
 
 class Target(Section, kw_only=True, frozen=True):
-    """One address that a replay may reach. What no such section names is never sent to.
+    """An address that a replay may send to; nothing is sent to addresses without such a section.
 
     Attributes:
-        address: An instance's; for a replay inside, that of discovery, whose endpoint list is used.
-        rehearsal: Nothing that counts runs there: requests with an effect may go, once each.
-        keeps_tickets: Its endpoints may see recorded idempotency keys; otherwise each gets a new one.
-        live_rerunnable: Idempotent requests may go even where the capture shows this address in service.
-        most_per_second: Requests a second; what is beyond it is not offered.
+        address: The address of an instance; for a replay with `--inside`, the address of the discovery
+            service whose endpoint list is used.
+        rehearsal: Whether effects at the target do not matter; requests with an effect may then be sent, each
+            at most once.
+        keeps_tickets: Whether recorded idempotency keys are sent; otherwise each is replaced by a new key.
+        live_rerunnable: Whether idempotent requests may be sent if the capture shows the address in service.
+        most_per_second: Maximum requests per second; further requests are not offered.
     """
 
     section: ClassVar[str] = "target"
@@ -31,7 +33,7 @@
     most_per_second: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 10_000.0
 
     def check(self) -> Iterator[tuple[str, str]]:
-        """Fields that do not go together, and why."""
+        """Yield each invalid field, or field inconsistent with another field, with the reason."""
         try:
             parse_address(self.address, "address")
         except ConfigurationError as error:
--- a/gatebank/replay/sockets.py
+++ b/gatebank/replay/sockets.py
@@ -1,8 +1,8 @@
-"""Requests to a running instance over its clients' protocol.
+"""Sends requests to a running instance over the client protocol.
 
-An `InstanceConnection` owns its socket, buffer and tasks, and gives them back in `close`, the one place.
-Nothing is ever sent again here: what a broken connection had taken whole has no response, what it had not was
-never sent.
+An `InstanceConnection` owns its socket, buffer and tasks; only `close` releases them. This module never
+resends a request. If a connection breaks, the unanswered requests that were passed completely to the
+operating system count as sent without a response, and all others on the connection as never sent.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
 from gatebank.replay.player import Player
 from gatebank.replay.requests import ReplayedRequest, ReplayOutcome
 
-CONNECT_TIMEOUT = 2.0  # s: an instance on loopback or in the same building takes 0.01
-WRITE_BYTES = 1 << 16  # written at once
-MAX_VALUE_BYTES = 16 << 20  # of a value: larger than any that an instance passes on
+# Seconds to connect; an instance on loopback or in the same building accepts within 0.01 s.
+CONNECT_TIMEOUT = 2.0
+WRITE_BYTES = 1 << 16  # Maximum size of one write by a connection's write task.
+MAX_VALUE_BYTES = 16 << 20  # Maximum size of a value; larger than any value that an instance forwards.
 BUSY = b"BUSY"
-MAX_RETRY_AFTER_DIGITS = 7  # of ms; longer numbers are nonsense
+MAX_RETRY_AFTER_DIGITS = 7  # Maximum digits of a delay in milliseconds; longer numbers are ignored.
 MS_PER_SECOND = 1000
 
 
 class ResponseMeaning(NamedTuple):
-    """What a response says of its request.
+    """Outcome of a request according to its response.
 
     Attributes:
-        outcome: What became of it.
-        retry_after: In how many s a rejected request may be sent again; None if that was not said.
+        outcome: The outcome of the request.
+        retry_after: Seconds until a rejected request may be sent again; None if the response has no delay.
     """
 
     outcome: ReplayOutcome
@@ -40,7 +41,7 @@
 
 
 def interpret_reply(reply: resp.Reply) -> ResponseMeaning:
-    """What an instance's response says.
+    """Determine the outcome of a request from an instance's reply.
 
     >>> replies = [resp.Reply("-", [memoryview(line)]) for line in (b"BUSY 250", b"BUSY", b"ERR x")]
     >>> [(outcome.value, after) for outcome, after in map(interpret_reply, replies)]
@@ -59,11 +60,11 @@
 
 
 class UnsentRequest(NamedTuple):
-    """A request whose last byte the system has not taken.
+    """A request whose last byte has not been passed to the operating system.
 
     Attributes:
         request: The request.
-        end: How many bytes of the connection there are up to its last one.
+        end: Position of the request's end in the bytes of the connection.
     """
 
     request: ReplayedRequest
@@ -71,14 +72,14 @@
 
 
 class InstanceConnection:
-    """A connection to the instance. Commands go one behind another; responses come in their order.
+    """A connection to the instance; commands are pipelined, and responses arrive in the same order.
 
     Args:
-        transport: Its owner.
-        key: What the owner knows it by.
+        transport: The transport that owns the connection.
+        key: The connection's key in the transport.
 
     Attributes:
-        unsent: Requests whose last byte the system has not taken, in order.
+        unsent: Requests whose last byte has not been passed to the operating system, in order.
     """
 
     def __init__(self, transport: SocketTransport, key: int) -> None:
@@ -86,10 +87,12 @@
         self.unsent: deque[UnsentRequest] = deque()
         self._transport = transport
         self._player = transport.player
-        self._requests: deque[ReplayedRequest] = deque()  # without a response, in order; emptied by `close`
-        self._buffer = bytearray()  # not taken by the system yet
+        self._requests: deque[ReplayedRequest] = (
+            deque()
+        )  # Requests without a response, in order; `close` empties it.
+        self._buffer = bytearray()  # Bytes not passed to the operating system yet.
         self._bytes_added = 0
-        self._bytes_taken = 0  # by the system
+        self._bytes_taken = 0  # Number of bytes passed to the operating system.
         self._is_up = False
         self._is_closed = False
         self._socket = open_socket(transport.address)
@@ -98,21 +101,21 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request waits on it."""
+        """Whether no request on the connection is waiting for a response."""
         return not self._requests
 
     @property
     def open_count(self) -> int:
-        """Requests whose outcome is not known."""
+        """Number of requests without an outcome."""
         return sum(not request.is_finished for request in self._requests)
 
     def waits_only_for(self, request: ReplayedRequest) -> bool:
-        """Whether this request is on it, and no other has an outcome to come."""
-        others_are_finished = all(each.is_finished or each is request for each in self._requests)
+        """Whether this request is on the connection, and all others on it have an outcome."""
+        others_are_finished = all(other.is_finished or other is request for other in self._requests)
         return request in self._requests and others_are_finished
 
     def send(self, request: ReplayedRequest) -> None:
-        """Sends a request behind all others."""
+        """Send a request after all requests already on the connection."""
         data = resp.encode_command(request.arguments)
         self._requests.append(request)
         self._bytes_added += len(data)
@@ -122,29 +125,29 @@
             self._write()
 
     def close(self) -> None:
-        """Gives all back; requests without a response get their outcome."""
+        """Release all resources, and report the outcomes of requests without a response."""
         if self._is_closed:
             return
         self._is_closed = True
-        if self._writing:  # how much has left of the part being written is not known: as if all had
+        if self._writing:  # The part being written may have been sent completely, and counts as sent.
             self.on_taken(min(len(self._buffer), WRITE_BYTES))
         self._transport.forget(self)
         cancel_and_close(self._socket, self._task, self._writing)
-        unsent = {each.request for each in self.unsent}
+        unsent = {entry.request for entry in self.unsent}
         while self._requests:
             request = self._requests.popleft()
             outcome = ReplayOutcome.NEVER_SENT if request in unsent else ReplayOutcome.NO_RESPONSE
             self._player.finish(request, outcome)
 
     def on_taken(self, size: int) -> None:
-        """The system has taken so many bytes."""
+        """Account for ``size`` bytes that were passed to the operating system."""
         del self._buffer[:size]
         self._bytes_taken += size
         while self.unsent and self.unsent[0].end <= self._bytes_taken:
             self.unsent.popleft()
 
     def _write(self) -> None:
-        """Writes as much as the system takes at once; the rest by a task."""
+        """Write as much as possible without blocking; a task writes the rest."""
         try:
             sent = self._socket.send(self._buffer)
         except BlockingIOError:
@@ -167,7 +170,7 @@
             self.close()
 
     async def _run(self) -> None:
-        """Connects, and reads responses until the connection ends."""
+        """Connect, and read responses until the connection ends."""
         try:
             with contextlib.suppress(OSError, TimeoutError, resp.ProtocolError):
                 async with asyncio.timeout(CONNECT_TIMEOUT):
@@ -189,18 +192,18 @@
             inbox.commit(size)
             for reply in inbox.replies():
                 if not self._requests:
-                    raise resp.ProtocolError("an answer to nothing")
+                    raise resp.ProtocolError("a reply without a request")
                 self._player.finish(self._requests.popleft(), *interpret_reply(reply))
 
 
 class SocketTransport:
-    """Carries requests over connections as recorded (one for each recorded one), or from a pool.
+    """Sends requests over connections from a pool, or over one connection per recorded connection.
 
     Args:
         player: The player.
-        address: The instance's.
-        is_pooled: Connections are shared by all requests.
-        max_connections: Connections at once.
+        address: The address of the instance.
+        is_pooled: Whether all requests share a pool of connections.
+        max_connections: Maximum number of open connections.
     """
 
     def __init__(self, player: Player, address: Address, is_pooled: bool, max_connections: int) -> None:
@@ -208,7 +211,7 @@
         self.address = address
         self._is_pooled = is_pooled
         self._max_connections = max_connections
-        self._connections: OrderedDict[int, InstanceConnection] = OrderedDict()  # the longest unused first
+        self._connections: OrderedDict[int, InstanceConnection] = OrderedDict()  # Least recently used first.
         self._last_key = 0
 
     def refusal(self, _: Exchange) -> str:
@@ -229,7 +232,7 @@
             key = self._last_key if self._is_pooled else recorded
             try:
                 connection = InstanceConnection(self, key)
-            except OSError:  # no descriptor is left
+            except OSError:  # No descriptor is left.
                 self.player.finish(request, ReplayOutcome.NEVER_SENT)
                 return
             self._connections[key] = connection
@@ -237,7 +240,7 @@
         connection.send(request)
 
     def give_up(self, request: ReplayedRequest) -> None:
-        """See `RequestTransport.give_up`; a connection on which no other request waits ends too."""
+        """See `RequestTransport.give_up`; also close the connection if no other request on it is waiting."""
         for connection in list(self._connections.values()):
             if connection.waits_only_for(request):
                 connection.close()
@@ -248,18 +251,21 @@
             connection.close()
 
     def forget(self, connection: InstanceConnection) -> None:
-        """A connection has closed."""
+        """Remove a connection that has closed."""
         self._connections.pop(connection.key, None)
 
     def _close_idle(self) -> bool:
-        """Closes the longest unused idle connection; False if all have a request."""
-        idle = next((each for each in self._connections.values() if each.is_idle), None)
+        """Close the least recently used idle connection; return False if no connection is idle."""
+        idle = next((connection for connection in self._connections.values() if connection.is_idle), None)
         if idle:
             idle.close()
         return idle is not None
 
     def _pooled(self) -> InstanceConnection | None:
-        """The last used idle one; where there may be no more, the one with the fewest open requests."""
+        """Return the most recently used idle connection.
+
+        If none is idle, return None if another may be opened, or else the one with the fewest open requests.
+        """
         for connection in reversed(self._connections.values()):
             if connection.is_idle:
                 return connection
