--- a/gatebank/actions.py
+++ b/gatebank/actions.py
@@ -43,7 +43,7 @@
 class StartAttempt:
     """Send a request to an endpoint.
 
-    The host gives the attempt up at ``give_up_at``, or when the client gives up if that is None.
+    The host gives the attempt up at ``give_up_at``; if ``give_up_at`` is None, when the client gives up.
     """
 
     request: int
@@ -63,7 +63,7 @@
 class RejectRequest:
     """Give the final answer that the request was rejected and may safely be sent again.
 
-    ``retry_after`` is the recommended delay in seconds; None if none is given.
+    ``retry_after`` is the recommended delay in seconds; None for no recommendation.
     """
 
     request: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Call ``on_timer`` with this timer at ``due_at``, in the balancer's seconds."""
+    """Call ``on_timer`` with this timer at ``due_at``, on the balancer's clock."""
 
     due_at: float
     timer: Timer
--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -117,7 +117,7 @@
         self.state.endpoints.update(endpoints, complete=complete)
 
     def on_watch_failed(self) -> None:
-        """Schedule another watch of the endpoint list after one that failed."""
+        """Schedule another watch of the endpoint list after a failed watch."""
         self._start_timer(measurement.WATCH_RETRY_S, WatchTimer())
 
     def on_request(self, request: Request) -> None:
@@ -244,10 +244,10 @@
         inheritance.merge_inherited_reports(state)
 
     def may_start(self, number: int, attempt: int) -> bool:
-        """Tell whether an attempt that has waited for its connection may still be sent.
+        """Return whether an attempt that has waited for its connection may still be sent.
 
         The conditions under which the attempt was started may no longer hold. If the attempt may be sent,
-        rule 5 counts it at the current time instead of its start time.
+        rule 5 (the cap) counts the attempt at the current time instead of its start time.
         """
         state = self.state
         request = state.requests[number]
@@ -367,7 +367,7 @@
     # Releases, votes and peers.
 
     def _begin_build(self, *, is_first: bool) -> None:
-        """Start observing another newest build: keep the present latencies and load for comparison."""
+        """Prepare for another newest build: keep the present latencies and load for comparison."""
         state = self.state
         latencies = state.latencies
         latencies.before_canary = {} if is_first else evidence.reliable_baseline_latencies(state)
@@ -415,7 +415,7 @@
     def _send_report(self) -> None:
         """Send this instance's sums and load to the fusers; one fuser also broadcasts the fleet's load.
 
-        The report holds whole sums, which include the remainder that the design sends once a second.
+        The report holds complete sums, which include the remainder that the design sends once a second.
         """
         state = self.state
         build = 0
--- a/gatebank/core/__init__.py
+++ b/gatebank/core/__init__.py
@@ -5,9 +5,9 @@
     request_state.py      a request and its attempts
     traffic.py            requests and attempts of the last seconds
     latency.py            mean latencies
-    measurement.py        taking results into latencies and the baseline's counts
-    load.py               load and unanswered attempts as this instance sees them
-    llr_sums.py           the LLRs of one build at one stage: own, unsent, fused
+    measurement.py        updates of latencies and of the baseline's counts by results
+    load.py               load and outstanding attempts, as measured by this instance
+    llr_sums.py           the log-likelihood ratios (LLRs) of one build at one stage
     fleet_view.py         reports of other instances
     voting.py             the votes of this instance
     state.py              the whole state of one instance
--- a/gatebank/core/endpoint_state.py
+++ b/gatebank/core/endpoint_state.py
@@ -30,7 +30,8 @@
     Attributes:
         listed: the endpoint's entry in the endpoint list.
         outstanding: the number of this instance's attempts without a result.
-        silent_since: since when no outstanding attempt has ended.
+        silent_since: when an attempt last ended, or when the first outstanding attempt was sent if that is
+            later.
         last_result_at: when an attempt last ended, or when inherited state of the endpoint was applied.
         latency_ratio: the endpoint's latency relative to the mean of its request classes.
         latency_drift: the endpoint's latency relative to the mean before the present canary arrived.
--- a/gatebank/core/endpoint_table.py
+++ b/gatebank/core/endpoint_table.py
@@ -16,7 +16,7 @@
     Attributes:
         of_build: endpoints of the build.
         warm: endpoints of the build that have warmed up.
-        oldest: the oldest endpoints of the build.
+        oldest: endpoints of the build that started first, see `SequentialTest.oldest_endpoints`.
         listed: endpoints of all builds.
     """
 
@@ -68,7 +68,7 @@
 
         Args:
             build: the build under test.
-            oldest: the number of the build's oldest endpoints.
+            oldest: the number of endpoints in `SequentialTest.oldest_endpoints`, copied into the result.
             now: the current time.
             warm_up: how long an endpoint warms up, in seconds.
         """
--- a/gatebank/core/fleet_view.py
+++ b/gatebank/core/fleet_view.py
@@ -23,7 +23,8 @@
         loads: the load of all instances, by request class.
         baseline_latency: the baseline's mean latencies by request class and machine kind.
         canary_latency_ratio: the canary's latency relative to the baseline's; 0 if unknown.
-        held_up_classes: request classes that are late regardless of the endpoint that serves them.
+        held_up_classes: request classes whose answers are late whichever endpoint serves them, because
+            something behind the endpoints, such as a lock, holds them up.
         peer_reports: the last report of each instance.
         last_fuser_message_at: when a fuser last sent any message.
     """
--- a/gatebank/core/inheritance.py
+++ b/gatebank/core/inheritance.py
@@ -20,9 +20,10 @@
 
 
 def inherit_window(state: BalancerState, inherited: InheritedState) -> None:
-    """Take over the attempts and requests of the exposure window.
+    """Take over the attempts and requests of the exposure window from earlier incarnations.
 
-    If these are not known, no spare attempts are allowed until one exposure window has passed.
+    If the attempts and requests are not completely known, no spare attempts are allowed until one exposure
+    window has passed.
     """
     window_end = state.started_at + state.settings.release.exposure_window
     if inherited.exposure_window_known:
@@ -79,7 +80,7 @@
 
 
 def inherit_reports(state: BalancerState, inherited: InheritedState) -> None:
-    """Keep whole LLR sums of incarnations that may have ended, except those of this incarnation."""
+    """Keep the inherited reports with complete LLR sums, except reports of this incarnation."""
     others = [row for row in inherited.reports if row[1].incarnation != state.incarnation]
     state.inherited_reports = others[:MAX_INHERITED_REPORTS]
 
@@ -87,7 +88,7 @@
 def merge_inherited_reports(state: BalancerState) -> None:
     """Merge inherited reports into the current test.
 
-    The reports hold whole sums, so that merging them again changes nothing.
+    The reports hold complete sums, not increments, so that merging a report again changes nothing.
     """
     if state.test:
         for instance, report in state.inherited_reports:
--- a/gatebank/core/llr_sums.py
+++ b/gatebank/core/llr_sums.py
@@ -1,4 +1,4 @@
-"""The log-likelihood ratios (LLRs) of one build at one stage: own, not yet sent, and fused over all.
+"""The log-likelihood ratios (LLRs) of one build at one stage: own, unsent and fused over all instances.
 
 The design (Yilmaz and Wang, section III): each instance sends its LLR to the fusers only after the LLR has
 moved by Δ. The overshoot is rounded at random to one of a few levels, so that its mean is preserved. The
@@ -19,8 +19,8 @@
     """The numbers of the statistics, each with an LLR of its own.
 
     ERRORS is the statistic of the design, over all request classes. The other statistics can hold a build or
-    roll it back but never promote it, so that a fault visible in one of them is not lost in the sum over all
-    classes.
+    roll it back but never promote it, so that a fault visible in one statistic is not lost in the sum over
+    all classes.
     """
 
     ERRORS = 0
@@ -131,8 +131,8 @@
     def continue_from(self, previous: LlrSums) -> None:
         """Carry over the cross-stage fused sum and its evidence from the build's previous stage.
 
-        The sums that instances send restart at zero with each stage, so that a restarted fuser learns from
-        them what its stage has shown.
+        The sums that instances send restart at zero with each stage, so that a restarted fuser can rebuild
+        the evidence of the current stage from these sums.
         """
         self.fused[self.cross_stage_statistic] = previous.fused[self.cross_stage_statistic]
         self.evidence_by_endpoint[self.cross_stage_statistic] = previous.evidence_by_endpoint[
@@ -140,7 +140,7 @@
         ]
 
     def reset_unsent(self) -> None:
-        """Clear the unsent sums after a report has sent the whole sums."""
+        """Clear the unsent sums after a report has sent the complete sums."""
         self.unsent = [NO_SUM] * len(self.unsent)
 
     def merge_peer_message(self, peer: int, message: LlrDelta | InstanceReport) -> None:
@@ -151,7 +151,7 @@
         if isinstance(message, LlrDelta):
             sums: Mapping[int, LlrSum] = {message.statistic: self._sum_after_delta(peer_sums, message)}
             endpoint_hash: int | None = message.endpoint_hash
-        else:  # Whole sums correct for lost, late and repeated deltas.
+        else:  # Complete sums correct for lost, late and repeated deltas.
             sums = message.sums
             endpoint_hash = None
         for statistic, new in sums.items():
--- a/gatebank/core/load.py
+++ b/gatebank/core/load.py
@@ -1,4 +1,4 @@
-"""Load and unanswered attempts as this instance sees them."""
+"""Load and outstanding attempts, as measured by this instance."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 def outstanding_attempts(state: BalancerState, unresponsive_ratio: float) -> int:
-    """Count outstanding attempts that are load.
+    """Count the outstanding attempts that endpoints are working on.
 
-    Attempts at unresponsive endpoints and attempts of held-up classes are left out: they only wait.
+    Attempts at unresponsive endpoints are left out, and so are attempts of held-up classes (request classes
+    that are slow whichever endpoint serves them): such attempts wait, but cause no work.
 
     Args:
         state: the state of this instance.
--- a/gatebank/core/measurement.py
+++ b/gatebank/core/measurement.py
@@ -124,7 +124,7 @@
     decay: float,
     recent_weight: float,
 ) -> None:
-    """Update the baseline's error counts by an outcome.
+    """Update the baseline's counts of bad outcomes and of all outcomes by one outcome.
 
     Args:
         errors: the counts by statistic; updated in place.
--- a/gatebank/core/request_state.py
+++ b/gatebank/core/request_state.py
@@ -44,7 +44,7 @@
 
     Attributes:
         request, request_class: the request as received, and the settings of its class.
-        arrived_at: when the request arrived, in the balancer's seconds.
+        arrived_at: when the request arrived, on the balancer's clock.
         attempts: all attempts, in order of their start.
         outcomes: the outcome of each attempt; None while the attempt is outstanding.
         suspected_errors: see `SuspectedError`.
@@ -65,7 +65,7 @@
         return self.arrived_at + self.request.timeout
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
-        """Return the attempts except those whose outcome proves that they had no effect."""
+        """Return the attempts whose outcome does not prove that the attempt had no effect."""
         pairs = zip(self.attempts, self.outcomes, strict=True)
         return [attempt for attempt, outcome in pairs if outcome not in NEVER_RUN_OUTCOMES]
 
--- a/gatebank/core/state.py
+++ b/gatebank/core/state.py
@@ -44,15 +44,16 @@
         endpoints: the endpoint list.
         requests: requests without a final answer, by number.
         outstanding: attempts without a result.
-        outstanding_by_endpoint: the same attempts, counted by endpoint.
+        outstanding_by_endpoint: the attempts in ``outstanding``, counted by endpoint and request class.
         release: the last status of the newest build from the release service.
         test: the sequential test of the newest build at its stage; None while the build is not tested.
-        baseline_errors: bad outcomes of baseline builds, by statistic of the test.
+        baseline_errors: outcome counts of baseline builds, by statistic of the test.
         canary_seen: this instance has seen the newest build in the canary phase.
         sticky_builds: the build that each key is bound to; emptied when the newest build is rolled back or
             replaced.
         no_spare_until: until this time, no spare attempts are allowed beyond the cap.
-        inherited_reports: LLR sums of other incarnations, to be merged into each new test.
+        inherited_reports: reports of other incarnations with complete LLR sums, to be merged into each new
+            test.
     """
 
     def __init__(self, settings: Settings, seed: int, now: float, resumed_at: float) -> None:
--- a/gatebank/core/voting.py
+++ b/gatebank/core/voting.py
@@ -1,4 +1,4 @@
-"""The votes of this instance on the newest build; times in the balancer's seconds."""
+"""The votes of this instance on the newest build; times on the balancer's clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
         voted_verdict: the verdict of the last vote.
         voted_at: when the last vote was cast.
         renew_at: when the vote has to be cast again.
-        preferred_verdict, preferred_since: the verdict by present evidence, and since when it has been so.
+        preferred_verdict: the verdict that the present evidence suggests.
+        preferred_since: when the evidence began to suggest this verdict.
     """
 
     def __init__(self, now: float) -> None:
--- a/gatebank/events.py
+++ b/gatebank/events.py
@@ -36,6 +36,7 @@
     NOT_SENT = "not sent"
 
 
+# Outcomes of attempts that ended before a result arrived, because of a timeout or a cancellation.
 GIVEN_UP_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)
 # Outcomes of attempts that certainly had no effect at the endpoint.
 NEVER_RUN_OUTCOMES = (Outcome.REJECTED, Outcome.NO_CONNECTION, Outcome.NOT_SENT)
@@ -97,10 +98,11 @@
     Attributes:
         index: the host's index of this endpoint.
         name_hash: a 16-bit hash of the endpoint's name, the same at all instances.
-        machine_kind, zone, cell, build: the values of the list; machine kinds and zones are indices in the
-            order of the settings.
-        started_at: when the endpoint's process started, in the balancer's seconds; None: unknown, taken as
-            long ago.
+        machine_kind, zone: indices of the endpoint's machine kind and zone, in the order of the settings.
+        cell: the number of the endpoint's cell, a group of endpoints that retries may be restricted to.
+        build: the number of the build that the endpoint runs.
+        started_at: when the endpoint's process started, on the balancer's clock; None if the time is not
+            known, in which case the process counts as started long ago.
         condition: whether requests may be sent to the endpoint.
         weight: the endpoint's capacity relative to other endpoints.
     """
@@ -167,9 +169,11 @@
     Attributes:
         reply: how the vote was answered.
         is_vote_reply: False if the release service sent the status without being asked.
-        build, stage, phase: the newest build and its progress.
+        build: the number of the newest build.
+        stage: the number of the build's release stage, from 0; each stage has a cap of its own.
+        phase: whether the build is the canary, is being rolled back, is released or has been rolled back.
         cap: the share of requests that may be sent to the canary.
-        age: seconds since this status began.
+        age: seconds from the start of the state that this status describes until the status was written.
     """
 
     reply: ReplyStatus
@@ -201,10 +205,11 @@
 
 
 class BaselineErrors(NamedTuple):
-    """Bad outcomes of the baseline build in one statistic.
+    """Outcomes of baseline builds as counted by one statistic of the sequential test.
 
-    ``bad`` and ``total`` are exponentially decayed counts; ``recent_rate`` is a moving rate of bad outcomes
-    that reacts faster.
+    `core.llr_sums.Statistic` lists the statistics; each defines which outcomes are bad, such as errors or
+    late answers. ``bad`` and ``total`` are exponentially decayed counts of the bad outcomes and of all
+    outcomes; ``recent_rate`` is a moving rate of bad outcomes that reacts faster.
     """
 
     bad: float
@@ -220,7 +225,11 @@
 
 
 class InheritedAttempt(NamedTuple):
-    """An attempt within the exposure window that an earlier incarnation started; ``age`` in seconds."""
+    """An attempt within the exposure window that an earlier incarnation started; ``age`` in seconds.
+
+    The exposure window is the trailing time, set in the settings, over which the share of requests sent to
+    the canary is counted against its cap.
+    """
 
     age: float
     request_class: int
@@ -242,8 +251,9 @@
 
     Attributes:
         endpoints: endpoint state by endpoint index.
-        reports: whole LLR sums of other incarnations, with the number of the instance that sent them.
-        baseline_errors: bad outcomes of the baseline by statistic of the sequential test.
+        reports: reports of other incarnations with complete sums of log-likelihood ratios (LLRs), each report
+            with the number of the instance that sent it.
+        baseline_errors: outcome counts of baseline builds by statistic of the sequential test.
         latency: mean latency by request class.
         baseline_latency: mean latency of baseline builds by request class and machine kind.
         sent, accepted: attempts and requests of this instance's earlier incarnations in the last exposure
--- a/gatebank/peer_messages.py
+++ b/gatebank/peer_messages.py
@@ -1,8 +1,8 @@
 """The messages between instances and their binary encoding. What is sent and when is decided in policy/.
 
 An `LlrDelta` is the message of the design for one LLR: sign and rounded size as one signed level. An
-`InstanceReport` holds the sender's whole sums and its load. A `FleetReport` holds the load of all instances
-together and its sender's verdict on a build at a stage.
+`InstanceReport` holds the sender's complete LLR sums and its load. A `FleetReport` holds the load of all
+instances together and its sender's verdict on a build at a stage.
 
 >>> delta = LlrDelta(incarnation=7, build=42, stage=1, statistic=0, level=-3, outcomes=12, endpoint_hash=513)
 >>> decode(encode(delta)) == delta, len(encode(delta))
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceReport:
-    """The whole sums of one instance by statistic, and its load.
+    """The complete LLR sums of one instance by statistic, not their changes, and the instance's load.
 
     ``request_rate`` counts new requests per second, without repetitions by clients; ``outstanding`` counts
     outstanding attempts.
--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -12,8 +12,8 @@
 MIN_QUEUE_PER_ENDPOINT = 2
 # Weight of the fleet report's figures, as a number of this instance's own answers per second.
 FLEET_REPORT_WEIGHT = 5
-# Share of the latency objective that the queue may take for a request class whose priority weight for its
-# work is near 0. The class with the highest priority weight for its work may take twice as much.
+# Share of the latency objective that the queue may take for a request class whose worth (see `_bound`) is
+# near 0. The class with the highest worth may take twice as much.
 BOUND_SHARE = 0.6
 # Share of the bound on outstanding attempts above which tenants are held to their quotas.
 QUOTA_ENFORCEMENT_SHARE = 0.7
@@ -26,8 +26,8 @@
 def should_shed(state: BalancerState, request: RequestState) -> bool:
     """Return whether to reject a request because too many attempts are outstanding.
 
-    Requests are shed before the endpoints' queues overload them, whatever fills the queues. Requests of the
-    lowest priority weight for their work are shed first.
+    Requests are shed before queues overload the endpoints, whatever fills the queues. Requests of the class
+    with the lowest worth (see `_bound`) are shed first.
     """
     # By Little's law, the time of an answer is the number of outstanding attempts over the rate of answers.
     held_up = state.fleet.held_up_classes
@@ -63,13 +63,16 @@
 def _bound(state: BalancerState, request: RequestState, served: float) -> float:
     """Return the number of outstanding attempts above which a request of this class is shed.
 
+    The bound rises with the worth of the class: the priority weight per second of the class's mean latency,
+    or the priority weight itself if the settings weigh requests by their work.
+
     Args:
         state: The state of this instance.
         request: The request to admit or shed.
         served: Answers per second.
     """
     classes = state.settings.request_classes
-    by_work = float(state.settings.weighs_by_work)  # if 0, worth is the priority weight over the mean latency
+    by_work = float(state.settings.weighs_by_work)  # 0 selects the division by the mean
     means = [estimate.mean for estimate in state.latencies.by_class]
     pairs = zip(classes, means, strict=True)
     worth = [request_class.priority_weight / (by_work or mean or 1) for request_class, mean in pairs]
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -27,8 +27,8 @@
 LATE_EVERYWHERE_FACTOR = 2.5
 # Ratio of the median latency ratios of canary and baseline endpoints above which the canary is slower.
 SLOW_CANARY_RATIO = 1.2
-# The same ratio, below which the canary is faster than chance explains. A slowdown of the baseline alone is
-# then not the canary's fault.
+# Value of the same ratio below which the canary is faster than chance explains. A slowdown of the baseline
+# alone is then not the canary's fault.
 FAST_CANARY_RATIO = 0.7
 # Median latency drift of all healthy endpoints above which answers may be late everywhere. The median leaves
 # out the effect of noisy neighbours, pauses and queues, which slow down single endpoints.
@@ -47,7 +47,8 @@
 RECENT_RATE_WEIGHT = 0.1
 # Outcomes of the canary at this instance that are required before latency drift counts as evidence.
 MIN_OUTCOMES = 5
-# The same requirement over all instances. Where there are many instances, each needs only its part of it.
+# Outcomes of the canary at all instances together that suffice for latency drift to count as evidence. Each
+# instance requires its part of this number where that is less than MIN_OUTCOMES.
 MIN_OUTCOMES_OF_ALL = 25
 # Bounds of p0, the baseline's share of bad outcomes.
 MIN_P0 = 0.01
@@ -136,7 +137,7 @@
 ) -> bool:
     """Return whether a result can be compared with the latency before the canary started.
 
-    Only answers can: an endpoint that does not answer is not evidence of slowness.
+    Only successful answers can be compared: an endpoint that does not answer is not evidence of slowness.
     """
     needed = min(MIN_OUTCOMES, MIN_OUTCOMES_OF_ALL / state.settings.instance_count)
     enough = test.sums.own[Statistic.ERRORS].outcomes >= needed
--- a/gatebank/policy/exposure.py
+++ b/gatebank/policy/exposure.py
@@ -1,4 +1,8 @@
-"""Exposure of the canary. Rule 5: each instance keeps to the cap by its own counts in the exposure window."""
+"""Exposure of the canary: the share of requests that is sent to it.
+
+Rule 5: each instance keeps this share within the cap by its own counts. The counts cover the exposure
+window, a trailing time window whose length the settings give.
+"""
 
 from gatebank.core.request_state import RequestState
 from gatebank.core.state import BalancerState
@@ -6,7 +10,7 @@
 
 
 def is_canary(state: BalancerState, build: int) -> bool:
-    """Return whether a build is later than the last announced one, or is that one and not released."""
+    """Return whether a build is later than the last announced build, or is that build and not released."""
     release = state.release
     if release is None or release.build is None:  # only the lowest listed build is certain not to be a canary
         return bool(state.endpoints.by_index) and state.endpoints.lowest_build < build
@@ -20,8 +24,8 @@
         state: The state of this instance.
         request: The request.
         build: The canary's build.
-        new_attempts: Number of attempts that would be added to the window. 0 checks the attempts that are
-            already counted.
+        new_attempts: Number of attempts that would be added to the window. With 0, only the attempts
+            that are already counted are checked.
     """
     policy = state.settings.release
     release = state.release if state.release is not None and state.release.build == build else None
--- a/gatebank/policy/outlier.py
+++ b/gatebank/policy/outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail, do not answer or are loaded; failure rates and ejection."""
+"""Outlier detection: failure rates, ejection, and a load score by which routing avoids bad endpoints."""
 
 from math import exp
 
@@ -9,10 +9,10 @@
 
 # Weight of a new result in its endpoint's failure rate.
 FAILURE_WEIGHT = 0.25
-# Contribution of an outcome to the failure rate; 1 for outcomes not listed here. A lost connection counts
-# half, because the network link may have lost the answer.
+# Contribution of an outcome to the failure rate; 1 for an outcome that is neither listed here nor neutral. A
+# lost connection counts half, because the network link may have lost the answer.
 FAILURE_SIZES = {Outcome.SUCCESS: 0.0, Outcome.CONNECTION_LOST: 0.5}
-# Outcomes that say nothing about the endpoint's health.
+# Outcomes that say nothing about the endpoint's health and leave its failure rate unchanged.
 NEUTRAL_OUTCOMES = (Outcome.CANCELLED, Outcome.REJECTED, Outcome.NOT_SENT)
 # Failure rate from which an endpoint is ejected.
 EJECTION_FAILURE_RATE = 0.4
@@ -24,10 +24,10 @@
 # Health checks that an ejected endpoint must pass in a row before it is used again.
 HEALTH_CHECKS_TO_RETURN = 2
 HEALTH_CHECK_INTERVAL_S = 0.5
-# Time constant with which slowness and failures fade from an endpoint's load score. An endpoint that is
-# avoided for them is thus tried again.
+# Time constant with which slowness and failures fade from an endpoint's load score, so that an endpoint that
+# was avoided because of its slowness or failures receives requests again.
 SYMPTOM_DECAY_S = 4.0
-# Number of usual latencies without a result from which an endpoint counts as unresponsive.
+# Silence ratio (see `core.load.silence_ratio`) from which an endpoint counts as unresponsive.
 UNRESPONSIVE_SILENCE = 3
 # Weight of the failure rate in an endpoint's load score.
 FAILURE_PENALTY = 8
@@ -51,8 +51,8 @@
 def may_eject_one_more(state: BalancerState, endpoint: EndpointState) -> bool:
     """Return whether another endpoint of the same build may be ejected.
 
-    At most half of a build's endpoints are ejected. If more of them fail, the cause is the build, the load or
-    this instance's own connectivity.
+    At most half of a build's endpoints are ejected. If more endpoints fail, the cause is the build, the load
+    or this instance's own connectivity.
     """
     same_build = state.endpoints.groups.select([endpoint.listed.build])
     ejected = len(same_build.endpoints) - len(same_build.healthy)
--- a/gatebank/policy/retry.py
+++ b/gatebank/policy/retry.py
@@ -10,8 +10,8 @@
 from gatebank.policy.admission import should_shed
 from gatebank.policy.routing import choose_endpoint
 
-# Interval at which a request looks again for an endpoint, which a change of the endpoint list or a slow
-# start's budget may make available.
+# Interval at which the choice of an endpoint for a waiting request is repeated. A change of the endpoint list
+# or new tokens of slow start may make an endpoint available.
 ENDPOINT_WAIT_S = 0.1
 # An attempt that would start this close to the deadline cannot be answered in time.
 DEADLINE_MARGIN_S = 0.01
@@ -46,7 +46,7 @@
 def may_run_again(state: BalancerState, request: RequestState, may_have_run: Sequence[Attempt]) -> bool:
     """Return whether a request may run after earlier attempts that may have run.
 
-    An idempotent request always may, a keyed one within the window of its idempotency key.
+    An idempotent request may always run again, a keyed request only within the window of its idempotency key.
     """
     request_class = request.request_class
     if not may_have_run or request_class.retry_safety is RetrySafety.IDEMPOTENT:
--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -23,13 +23,14 @@
 INSTANCES_PER_REPORT_SECOND = 200
 # Minimum interval between two votes; a vote to roll back does not wait for it.
 MIN_VOTE_INTERVAL_S = 0.5
-# Delay between the votes of successive instances, which vote only if the votes before had no effect.
+# Delay between the votes of successive instances. An instance votes only if earlier votes had no effect.
 RANK_STEP_S = 0.5
-# Upper bound of an instance's rank where no more votes are required than there are fusers.
+# Upper bound of an instance's rank, its place in the order of voting, where no more votes are required than
+# there are fusers.
 MAX_RANK = 3
 # Share of a vote's lifetime after which an accepted vote is renewed.
 RENEWAL_SHARE = 0.75
-# Delay before a vote is cast again after such a reply.
+# Delay before a vote is cast again, by the release service's reply to the vote.
 RETRY_S = {ReplyStatus.STALE: 1.5, ReplyStatus.TIMED_OUT: 0.5}
 # The delay after other replies, and the length of the random delay that is added to it.
 OTHER_RETRY_S = 0.4
@@ -38,7 +39,7 @@
 
 
 def fusers(instance_count: int) -> range:
-    """Return the instances that sum the LLRs of all instances: those with the lowest numbers."""
+    """Return the fusers: the instances with the lowest numbers, which sum the LLRs of all instances."""
     return range(min(MAX_FUSERS, instance_count))
 
 
@@ -89,9 +90,9 @@
         many: Whether more votes are required than there are fusers.
 
     Returns:
-        A fuser's own verdict. At other instances the verdict of the last fleet report where many must vote,
-        and their own if they have received nothing from any fuser for some time. None if there is no
-        verdict.
+        At a fuser, its own verdict. At another instance, its own verdict if it has received nothing from any
+        fuser for some time; otherwise, where many must vote, the verdict of the last fleet report. None if
+        there is no verdict.
     """
     test = state.test
     if test is None:
@@ -111,8 +112,8 @@
 def vote_to_cast(state: BalancerState) -> Verdict | None:
     """Return the verdict to vote for now, or None.
 
-    The first fuser votes at once, and the other fusers if that had no effect. Where more votes are required
-    than there are fusers, all instances vote, in the order of their numbers.
+    The first fuser votes at once, and the other fusers if its vote had no effect. Where more votes are
+    required than there are fusers, all instances vote, in the order of their numbers.
     """
     policy = state.settings.release
     needed = {Verdict.PROMOTE: policy.promote_votes, Verdict.ROLL_BACK: policy.rollback_votes}
--- a/gatebank/policy/routing.py
+++ b/gatebank/policy/routing.py
@@ -1,4 +1,8 @@
-"""Choice of the endpoint of an attempt. Rule 3 holds as the endpoint table offers only ready endpoints."""
+"""Choice of the endpoint of an attempt.
+
+Rule 3, that no request is sent to an endpoint that is draining or gone, holds because the endpoint table
+offers only ready endpoints.
+"""
 
 from itertools import islice
 
--- a/gatebank/policy/slow_start.py
+++ b/gatebank/policy/slow_start.py
@@ -1,13 +1,14 @@
-"""Slow start: how much an endpoint gets while it warms up. Rule 4: cold endpoints are not overloaded."""
+"""Slow start: limits the attempts at an endpoint that warms up. Rule 4: cold endpoints are not overloaded."""
 
 from gatebank.core.endpoint_state import EndpointState
 from gatebank.core.state import BalancerState
 
 # Time after the configured warm-up during which an endpoint is still treated as cold.
 WARM_UP_MARGIN_S = 1.0
-# Share of the rate that an endpoint can bear, by this instance's estimate, that refills its tokens.
+# Rate at which an endpoint's tokens are refilled, as a share of the rate of attempts that overloads the
+# endpoint by this instance's estimate.
 REFILL_SHARE = 0.5
-# Share of an overload window's attempts that a cold endpoint may get at once as its first ones.
+# Share of an overload window's attempts that a cold endpoint may get at once as its first attempts.
 FIRST_BURST_WINDOWS = 0.4
 # Upper bound of an endpoint's tokens.
 MAX_TOKENS = 1.5
@@ -23,7 +24,7 @@
 
 
 def minimum_capacity(state: BalancerState, endpoint: EndpointState) -> float:
-    """Return the fraction of its full capacity that an endpoint has reached at the least."""
+    """Return a lower bound of the fraction of its full capacity that an endpoint has reached."""
     slow_start = state.settings.slow_start
     initial = slow_start.initial_capacity
     return initial + (1 - initial) * max(0.0, min(1.0, state.age(endpoint) / slow_start.warm_up))
@@ -35,8 +36,8 @@
     A cold endpoint's tokens are refilled at half of the rate at which it would be overloaded: the overload
     multiple x its capacity x a warm endpoint's share of this instance's traffic.
     """
-    # If all instances keep to this, the endpoint's load stays within the limit in total. An instance whose
-    # part is less than one attempt draws at random when it may send the first one.
+    # If all instances keep to this rate, the endpoint's total load stays within the limit. An instance whose
+    # part is less than one attempt draws at random when it may send its first attempt.
     if is_warm(state, endpoint):
         return True
     slow_start = state.settings.slow_start
--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -25,8 +25,8 @@
     """A client connection; `close` releases all resources that the connection owns.
 
     Attributes:
-        replies: A pending reply for each command without a final answer, in command order; emptied by answers
-            or by `close`.
+        replies: Replies that are not being written yet, in command order, including replies whose answer is
+            not known yet; `flush` and `close` remove them.
         unwritten: Reply bytes that the kernel has not taken yet.
         timeout_start: Loop time from which the idle and closing timeouts count: the time of the accept, of
             the last written reply, or of the start of closing.
@@ -59,7 +59,7 @@
         self.consecutive_bad_commands = 0
         self.read_delay = 0.0
         self.client_disconnected = False
-        self.replies_written = asyncio.Event()  # Set when all replies so far are written.
+        self.replies_written = asyncio.Event()  # Set when all replies so far are written to the kernel.
         self.reader = asyncio.ensure_future(self.read())
 
     @property
@@ -70,8 +70,9 @@
     def close_would_lose_data(self, now: float) -> bool:
         """Return whether closing this idle connection would lose data.
 
-        Such data are commands that were not read yet, and replies that the client is slow to take. Replies
-        to a client that has taken nothing for `limits.WRITE_STALL_TIMEOUT_S` do not count.
+        Such data are commands that were not read yet, and replies in the kernel's send queue that the client
+        has no room for. These replies no longer count when the last write was
+        `limits.WRITE_STALL_TIMEOUT_S` ago.
         """
         return self.has_unread() or (
             now - self.timeout_start < limits.WRITE_STALL_TIMEOUT_S and has_unsent_bytes(self.sock)
@@ -96,7 +97,9 @@
                 command_count = await self.handle_commands()
                 self.update_partial_command_times(command_count)
                 self.is_handling_read = False
-                # More bytes may be waiting. A read that finds bytes at once does not yield to other tasks.
+                # More bytes may be waiting, and a read that finds bytes at once does not yield to other
+                # tasks. A client that sent exactly one command usually waits for the reply, so the next read
+                # yields.
                 if command_count != 1:
                     await asyncio.sleep(0)
         except ProtocolError as error:
@@ -133,7 +136,7 @@
         return command_count
 
     def update_partial_command_times(self, command_count: int) -> None:
-        """Update the times that the timeouts of an incomplete command count from.
+        """Update the start times of the timeouts for an incomplete command.
 
         Args:
             command_count: Number of whole commands that the last read completed.
@@ -186,10 +189,10 @@
     # End of reading.
 
     def on_disconnect(self) -> None:
-        """Handle the end of the client's sending: TCP does not tell whether it also stopped reading.
+        """Handle the end of the client's sending: TCP does not tell whether the client also stopped reading.
 
-        The client counts as gone (PROTOCOL): no further attempts are sent for its requests in flight. A
-        client that still reads gets all its replies, including those that it has not taken yet; afterwards
+        According to PROTOCOL, the client counts as gone: no further attempts are sent for its requests in
+        flight. A client that still reads gets all its replies, including unwritten ones; afterwards
         `check_timeouts` or `on_written` ends the connection.
         """
         for reply in list(self.replies):
@@ -204,7 +207,10 @@
             self.close()
 
     def close_with_error(self, reason: str) -> None:
-        """Stop reading and queue an error reply behind those in flight; `check_timeouts` closes later."""
+        """Stop reading, and queue an error reply after the pending replies.
+
+        `check_timeouts` closes the connection later.
+        """
         self.downstream.report_protocol_error(reason)
         self.start_closing()
         self.add_pending_reply().fail(reason)
@@ -212,9 +218,9 @@
     def stop_reading(self) -> None:
         """Stop reading; the client sends unread requests again on another connection.
 
-        The connection is closed at once, since only a close informs the client: the kernel resets a
-        connection that has unread bytes. Replies that the client is slow to take are written first; then
-        `check_timeouts` closes the connection.
+        Only a close informs the client: the kernel resets a connection that has unread bytes. If the kernel
+        has sent all replies, the connection is closed at once; otherwise `check_timeouts` closes it after the
+        replies are sent.
         """
         if not has_unsent_bytes(self.sock):
             self.close()
@@ -232,7 +238,7 @@
     # Timeouts.
 
     def check_timeouts(self, now: float, is_crowded: bool) -> None:
-        """Check this connection's timeouts and act on those that are over.
+        """Check this connection's timeouts, and act on expired ones.
 
         Args:
             now: Loop time.
@@ -261,11 +267,11 @@
             replies = list(self.replies)
             for reply in replies:
                 self.downstream.handler.fail_reply(reply)
-            if not replies:  # All replies are given, but the client does not take them.
+            if not replies:  # All requests are answered, but the client does not read the replies.
                 self.close()
 
     def check_partial_command(self, now: float) -> None:
-        """Close with an error where the rest of a command does not arrive in time."""
+        """Close the connection with an error if the rest of a command does not arrive in time."""
         is_silent = now - self.last_bytes_at >= limits.COMMAND_IDLE_TIMEOUT_S
         is_late = is_silent or now - self.partial_command_since >= limits.COMMAND_TIMEOUT_S
         if is_late and not self.has_unread():
--- a/gatebank/proxy/downstream/limits.py
+++ b/gatebank/proxy/downstream/limits.py
@@ -34,7 +34,7 @@
 BAD_COMMAND_PAUSE_S = 0.1
 MAX_BAD_COMMANDS = 8  # Number of consecutive bad commands that ends the connection.
 
-WRITE_STALL_TIMEOUT_S = 10.0  # Timeout of a client that takes no byte of its replies.
+WRITE_STALL_TIMEOUT_S = 10.0  # Timeout of a client that accepts no byte of its replies.
 WRITE_CHUNK_BYTES = 64 * 1024  # Size of one write of reply bytes that the kernel did not take at once.
 MAX_WRITE_PARTS = 64  # Buffers passed to one system call; more parts are joined before the call.
 
--- a/gatebank/proxy/http.py
+++ b/gatebank/proxy/http.py
@@ -22,7 +22,7 @@
     """A call got no complete reply.
 
     Attributes:
-        may_have_arrived: True if the server may have carried out the call nevertheless.
+        may_have_arrived: True if the server may have received the call and carried it out.
     """
 
     def __init__(self, reason: str, may_have_arrived: bool) -> None:
--- a/gatebank/proxy/requests.py
+++ b/gatebank/proxy/requests.py
@@ -17,7 +17,7 @@
 
     Attributes:
         number: Number by which the balancer identifies the request; reused after the request is settled.
-        deadline: Deadline in Unix time (seconds of the instance's clock).
+        deadline: Deadline in Unix time (seconds), as the instance's `Clock` shows it.
         size: Approximate memory use in bytes.
         attempts: Attempts by number; None for an attempt that has ended or was never sent.
         undelivered_results: Number of attempts whose result the balancer has not received yet.
--- a/gatebank/settings.py
+++ b/gatebank/settings.py
@@ -90,7 +90,8 @@
     Attributes:
         caps: for each stage, the share of requests that may be sent to the canary.
         counts_by_class: the cap applies to each request class separately.
-        exposure_window: the time over which attempts at the canary are counted.
+        exposure_window: the trailing time over which the share of requests sent to the canary is counted
+            against its cap.
         spare_attempts: attempts per exposure window that are allowed beyond the cap.
         sticky_keys: a key that the canary has answered is not sent to earlier builds any more.
         idempotent_only_stages: the canary gets idempotent requests only in stages below this number.
--- a/gatebank/state_transfer/local_state.py
+++ b/gatebank/state_transfer/local_state.py
@@ -24,7 +24,7 @@
 
 
 class LocalState:
-    """The balancer's state, and the items that were received from sources.
+    """The balancer's state, and the items received from sources: other instances or snapshots.
 
     Attributes:
         name: Name of this instance.
@@ -33,7 +33,7 @@
             it is the same after a restart if the configuration sets a seed.
         new_item_count: Number of received items that were new.
         started_at: Time of the start on the balancer's clock.
-        inherited: The received items.
+        inherited: The received items, and their conversion to the state that the balancer applies.
     """
 
     def __init__(self, dispatcher: Dispatcher, name: str, half_lives: HalfLives) -> None:
@@ -48,13 +48,14 @@
         self.names = IndexNames(dispatcher.settings, dispatcher.registry.names)
         self.origin = Origin(name, self.incarnation)
         self.inherited = InheritedKnowledge(self.balancer.state, self.names, self.origin, half_lives)
-        # Whether the attempts and requests of the last exposure window have been applied. They are applied
-        # only once, because each application would count them again.
+        # Whether the attempts and requests of the last exposure window (the trailing time over which the
+        # share of requests sent to the canary is counted) have been applied. They are applied only once,
+        # because each application would count them again.
         self.window_applied = False
 
     @property
     def seed(self) -> int:
-        """Seed of random choices: the balancer's own seed, so that a test can repeat the choices."""
+        """Seed of random choices: the balancer's incarnation number, repeatable by a configured seed."""
         return self.balancer.state.incarnation
 
     def hello(self) -> Hello:
@@ -103,7 +104,7 @@
         self.apply_stricter_release(merged.release)
 
     def apply_stricter_release(self, report: ReleaseReport | None) -> None:
-        """Applies a source's release report if it allows less than the status known to this instance."""
+        """Applies a received release report if it is stricter than the status known to this instance."""
         status = self.balancer.state.release
         own = None
         if status and status.build is not None and status.phase is not None:
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -374,10 +374,10 @@
 
 
 def stricter_report(report: ReleaseReport | None, own: OwnRelease | None) -> ReleaseReport | None:
-    """Returns the report if it allows less than this instance's own release status, otherwise None.
+    """Returns the report if it is stricter than this instance's own release status, otherwise None.
 
     Until the release service has answered, this instance treats a newer build as in its first stage anyway
-    (rule 5 of docs/design.md). Therefore only a rollback, or a lower cap of the same build, is used.
+    (rule 5 of docs/design.md). Therefore only a rollback, or a lower cap of the same build, is stricter.
 
     >>> back = ReleaseReport(origin="m", age=1.0, build=4, stage=1, phase=1, cap=0.0)
     >>> on = ReleaseReport(origin="m", age=1.0, build=4, stage=2, phase=0, cap=0.6)
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -33,12 +33,12 @@
     size: int
 
     def includes(self, endpoint: EndpointState) -> bool:
-        """Return whether an endpoint of the build belongs to them; it does if its start is unknown."""
+        """Return whether an endpoint of the build is one of these; true if its start is unknown."""
         return (endpoint.listed.started_at or 0.0) <= self.started_until
 
 
 class MedianKey(NamedTuple):
-    """The name of an endpoint's value that a median is of, and a key of the group that the median is over."""
+    """Identifies a median: the name of the endpoints' value, and a key of the group of endpoints."""
 
     value: str
     group: Hashable
@@ -181,7 +181,7 @@
         Args:
             value: The name of the value.
             endpoint: The endpoint.
-            old: The old value; None if the endpoint has not counted so far.
+            old: The old value; None if the endpoint had no value so far.
             new: The new value.
         """
         if not self._medians or not self.contains(endpoint):
--- a/gatebank/statistics/sliding_window.py
+++ b/gatebank/statistics/sliding_window.py
@@ -44,9 +44,9 @@
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
     def restamp(self, at: float, kind: KindT, now: float) -> None:
-        """Give the row of a time the time ``now``, and add the row if it has been dropped.
+        """Move the row with this time and kind to the time ``now``; add a row if it has been dropped.
 
-        The row is searched for, so that this is for rare events only.
+        The search for the row takes time in proportion to the number of rows. Use this for rare events only.
 
         >>> window: SlidingWindow[str] = SlidingWindow()
         >>> window.add(1.0, "a"), window.restamp(1.0, "a", 2.0), window.expire(1.5), window.count("a")
