--- a/gatebank/balancer.py
+++ b/gatebank/balancer.py
@@ -112,7 +112,7 @@
     def on_endpoint_list(self, endpoints: Sequence[Endpoint], complete: bool) -> None:
         """Apply the complete endpoint list or a change of it.
 
-        Rule 3: from here on, endpoints that are draining or gone are not chosen.
+        Rule 3: endpoints that are draining or gone are not chosen once this method returns.
         """
         self.state.endpoints.update(endpoints, complete=complete)
 
--- a/gatebank/proxy/control_plane.py
+++ b/gatebank/proxy/control_plane.py
@@ -27,7 +27,7 @@
 
 
 class InitialKnowledge(NamedTuple):
-    """Last known control plane state from the configuration file; None for what the file does not contain.
+    """Last known control plane state from the configuration file; a value that the file lacks is None.
 
     Attributes:
         version: Version of the endpoint list.
--- a/gatebank/proxy/downstream/connection.py
+++ b/gatebank/proxy/downstream/connection.py
@@ -191,9 +191,9 @@
     def on_disconnect(self) -> None:
         """Handle the end of the client's sending: TCP does not tell whether the client also stopped reading.
 
-        According to PROTOCOL, the client counts as gone: no further attempts are sent for its requests in
-        flight. A client that still reads gets all its replies, including unwritten ones; afterwards
-        `check_timeouts` or `on_written` ends the connection.
+        According to PROTOCOL (the specification of the protocol), the client counts as gone: no further
+        attempts are sent for its requests in flight. A client that still reads gets all its replies,
+        including unwritten ones; afterwards `check_timeouts` or `on_written` ends the connection.
         """
         for reply in list(self.replies):
             self.downstream.handler.on_client_disconnect(reply)
--- a/gatebank/proxy/downstream/limits.py
+++ b/gatebank/proxy/downstream/limits.py
@@ -1,7 +1,7 @@
 """Bounds and timeouts of client connections, with the reasons for them.
 
-The protocol (PROTOCOL) allows 3 s for the error reply to malformed input, and defines when an instance may
-close a client connection.
+PROTOCOL, the specification of the protocol, allows 3 s for the error reply to malformed input, and defines
+when an instance may close a client connection.
 """
 
 from __future__ import annotations
--- a/gatebank/proxy/upstream/connection.py
+++ b/gatebank/proxy/upstream/connection.py
@@ -181,14 +181,14 @@
         return False
 
     def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Close the connection of an attempt that was ended early, so that none of it is sent or answered."""
+        """Close the connection of an attempt that was ended early, so that no more is sent or read."""
         if self.recording and attempt.label:
             self.abandonment_comment = f"{attempt.label} {outcome.value}"
         self.attempt = None
         self.close()
 
     def close(self) -> None:
-        """Release all resources; the attempt in flight ends as lost, or as unsent if not written whole."""
+        """Release all resources; the attempt in flight ends as lost, or as unsent if not fully written."""
         if self.closed:
             return
         self.closed = True
--- a/gatebank/proxy/upstream/pool.py
+++ b/gatebank/proxy/upstream/pool.py
@@ -59,7 +59,7 @@
             self.waiting_attempts.popleft().finish(EndpointReply(Outcome.NO_CONNECTION))
 
     def assign_or_park(self, connection: EndpointConnection) -> None:
-        """Write the first waiting attempt that is still wanted to a free connection; else make it idle."""
+        """Write the first waiting attempt that has not ended to a free connection, or make that idle."""
         while self.waiting_attempts and not connection.closed:
             attempt = self.waiting_attempts.popleft()
             if not attempt.done and connection.write(attempt):
--- a/gatebank/simulator/host.py
+++ b/gatebank/simulator/host.py
@@ -262,13 +262,13 @@
             self.balancer.on_release_status(status)
 
     def take_actions(self) -> list[WireAction]:
-        """Return the balancer's actions in the form of the wire, and empty its list."""
+        """Return the balancer's actions in wire format, and empty the balancer's list of actions."""
         taken, self.balancer.actions = self.balancer.actions, []
         with balancer_faults():
             return [self.wire_action(action) for action in taken]
 
     def wire_action(self, action: actions.Action) -> WireAction:
-        """Return an action in the form of the wire."""
+        """Return an action in wire format."""
         match action:
             case (
                 actions.StartAttempt()
@@ -292,7 +292,7 @@
                 return {"msg": "Tail", "active": True}
 
     def request_action(self, action: RequestAction) -> WireAction:
-        """Return an action on a request in the form of the wire."""
+        """Return an action on a request in wire format."""
         call = self.ids.request_names[action.request]
         match action:
             case actions.StartAttempt():
--- a/gatebank/state_transfer/inherited_knowledge.py
+++ b/gatebank/state_transfer/inherited_knowledge.py
@@ -201,7 +201,7 @@
         return by_class, baseline
 
     def reports(self, merged: MergedState) -> list[tuple[int, InstanceReport]]:
-        """Returns the total sums of other incarnations as pairs of instance number and report."""
+        """Returns the complete LLR sums of other incarnations as pairs of instance number and report."""
         last_statistic = Statistic.oldest_errors(len(self.names.request_classes))
         reports = []
         for item in merged.sums:
--- a/gatebank/state_transfer/items.py
+++ b/gatebank/state_transfer/items.py
@@ -189,8 +189,9 @@
 class SentAttempt(Item, tag="sent", frozen=True, kw_only=True):
     """One attempt of the origin at a build in the last exposure window.
 
-    Each attempt is a separate item, so that `age` is exact. The item is of use only to a later start of the
-    origin itself.
+    The exposure window is the trailing time over which the share of requests sent to the canary is counted
+    against its cap. Each attempt is a separate item, so that `age` is exact. The item is of use only to a
+    later start of the origin itself.
     """
 
     build: Number
@@ -339,7 +340,7 @@
 
 
 def newest(items: Iterable[StateItem]) -> list[StateItem]:
-    """Returns the youngest item of each identity; items of single events all have identities of their own."""
+    """Returns the youngest item of each identity; each item of a single event has its own identity."""
     youngest: dict[object, StateItem] = {}
     for item in items:
         key = identity(item)
--- a/gatebank/state_transfer/state_export.py
+++ b/gatebank/state_transfer/state_export.py
@@ -125,7 +125,7 @@
         ]
 
     def release(self) -> Iterator[ReleaseReport]:
-        """Yields the release service's status that this instance received, if complete."""
+        """Yields the last status that this instance received from the release service, if it is complete."""
         status = self.state.release
         if status is None or status.build is None or status.stage is None or status.phase is None:
             return
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -50,7 +50,8 @@
 MIN_FAILING_RATE = 0.2
 # Minimum outcomes of a good report that cancels an older ejection reported by another source.
 MIN_RECOVERY_OUTCOMES = 5
-# Exposure windows after which a slow-start rate is ignored, because the counted attempts have ended by then.
+# Number of exposure windows after which a slow-start rate is ignored, because the attempts that the rate
+# counted have ended by then.
 SLOW_START_WINDOWS = 2
 ROLLED_BACK_PHASES = (Phase.ROLLING_BACK, Phase.ROLLED_BACK)
 OPEN_PHASES = (Phase.CANARY, Phase.RELEASED)
