--- a/gatebank/proxy/downstream/limits.py
+++ b/gatebank/proxy/downstream/limits.py
@@ -1,7 +1,7 @@
 """Bounds and timeouts of client connections, with the reasons for them.
 
-The protocol (PROTOCOL) allows 3 s for the error reply to malformed input, and defines when an instance may
-close a client connection.
+PROTOCOL, the specification of the protocol, allows 3 s for the error reply to malformed input, and defines
+when an instance may close a client connection.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 BAD_COMMAND_PAUSE_S = 0.1
 MAX_BAD_COMMANDS = 8  # Number of consecutive bad commands that ends the connection.
 
-WRITE_STALL_TIMEOUT_S = 10.0  # Timeout of a client that takes no byte of its replies.
+WRITE_STALL_TIMEOUT_S = 10.0  # Timeout of a client that accepts no byte of its replies.
 WRITE_CHUNK_BYTES = 64 * 1024  # Size of one write of reply bytes that the kernel did not take at once.
 MAX_WRITE_PARTS = 64  # Buffers passed to one system call; more parts are joined before the call.
 
