--- a/benchmarks/nodes.py
+++ b/benchmarks/endpoints.py
@@ -1,4 +1,6 @@
-"""Fake endpoints and their control plane in one process: ``python -m benchmarks.nodes HOST [NAME=FAULT]``.
+"""Fake endpoints and their control plane in one process.
+
+    python -m benchmarks.endpoints HOST [NAME=FAULT]
 
 Any number of faults may be given. There are four endpoints of build 41 and, where a fault is given for
 ``new``, one of build 42 as a canary with a cap of 0.25. SIGUSR1 prints what they counted since the last time,
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -76,13 +76,13 @@
     """
 
     def __init__(self, *faults: str) -> None:
-        """Start the endpoints; ``faults`` are as in benchmarks/nodes.py."""
+        """Start the endpoints; ``faults`` are as in benchmarks/endpoints.py."""
         number = next(FLEET_NUMBERS)
         process = os.getpid()
         self.host = f"127.{20 + process % 40}.{process // 40 % 250}.{number * 8 % 248}"
         self.temporary = tempfile.TemporaryDirectory()
         self.folder = Path(self.temporary.name)
-        command = [sys.executable, "-m", "benchmarks.nodes", self.host, *faults]
+        command = [sys.executable, "-m", "benchmarks.endpoints", self.host, *faults]
         self.endpoints = subprocess.Popen(command, cwd=ROOT, stdout=subprocess.PIPE, text=True)
         self.read_line()
 
--- a/benchmarks/lives.py
+++ b/benchmarks/half_lives.py
@@ -1,6 +1,6 @@
 """Which half-life suits what is known of endpoints? Errors of a belief of some age, over drawn histories.
 
-    python -m benchmarks.lives
+    python -m benchmarks.half_lives
 
 Endpoints start to fail as a Poisson process, once in 30, 60 or 120 s each, and fail for 5 to 30 s, as most
 troubles do. A source last saw an endpoint 0 to 20 s ago. For each half-life: the mean square of believed less
--- a/benchmarks/harness.py
+++ b/benchmarks/harness.py
@@ -49,10 +49,10 @@
         return f"{self.median:{form}} ({self.smallest:{form}} to {self.largest:{form}})"
 
 
-def in_turn(variants: Sequence[Variant], rounds: int) -> Iterator[Variant]:
+def interleave(variants: Sequence[Variant], rounds: int) -> Iterator[Variant]:
     """Yield each variant once a round, every other round in the opposite order: drift meets all alike.
 
-    >>> "".join(in_turn("abc", 3))
+    >>> "".join(interleave("abc", 3))
     'cbaabccba'
     """
     for number in range(rounds):
--- a/gatebank/state_transfer/weighting.py
+++ b/gatebank/state_transfer/weighting.py
@@ -61,7 +61,7 @@
     """Half-lives of the weights of items, in seconds; the operators' file may set them.
 
     Attributes:
-        healthy_endpoint: Of good reports of an endpoint. The square error in `benchmarks/lives.py` is
+        healthy_endpoint: Of good reports of an endpoint. The square error in `benchmarks/half_lives.py` is
             smallest at 4 to 8 s; the lower end is used, because a wrong good report costs clients' requests.
         failing_endpoint: Of bad reports of an endpoint. The square error in the same benchmark is smallest at
             8 to 16 s; the upper end is used, because a wrong bad report costs two health checks and no
