--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements, run by hand: ``python -m benchmarks.NAME``, each with ``--help`` where it takes options.
+"""Benchmarks that are run by hand: ``python -m benchmarks.NAME``; those with options have ``--help``.
 
-Figures are ratios within one run: other work on a machine changes all of them alike.
+Compare only the ratios within one run: other load on the machine affects all measurements of a run alike.
 """
