--- a/benchmarks/learning.py
+++ b/benchmarks/learning.py
@@ -178,7 +178,7 @@
     """Encode and read the state of a number of endpoints, and print sizes and times."""
     balancer, _ = make_balancer(endpoint_count=endpoints)
     for endpoint in balancer.state.endpoints.by_index.values():
-        endpoint.results = 40
+        endpoint.result_count = 40
         endpoint.last_result_at = START_TIME
     names = IndexNames(balancer.state.settings, [f"node-{number:05d}" for number in range(endpoints + 1)])
     slices = []
--- a/gatebank/policy/admission.py
+++ b/gatebank/policy/admission.py
@@ -40,7 +40,7 @@
         if request.request.request_class in held_up:
             return state.random() > HELD_UP_PROBE_SHARE
         answers = max(
-            0.5, sum(row.answers for index, row in enumerate(state.fleet.loads) if index not in held_up)
+            0.5, sum(row.answer_rate for index, row in enumerate(state.fleet.loads) if index not in held_up)
         )
         in_fleet = (served * in_fleet + FLEET_REPORT_WEIGHT * report.outstanding) / (
             served + FLEET_REPORT_WEIGHT
--- a/gatebank/policy/evidence.py
+++ b/gatebank/policy/evidence.py
@@ -1,12 +1,17 @@
 """Evidence on builds in an attempt's result: which LLRs the result moves, and by how much."""
 
-from gatebank.core.latency import UNKNOWN
+from gatebank.core.latency import UNKNOWN_LATENCY
 from gatebank.core.llr_sums import Statistic
 from gatebank.core.load import load_per_endpoint
-from gatebank.core.measurement import count_baseline, learn_baseline_latency, learn_drift, median_slowness
+from gatebank.core.measurement import (
+    count_baseline_outcome,
+    median_latency_ratio,
+    record_baseline_latency,
+    record_latency_drift,
+)
 from gatebank.core.request_state import AttemptRecord
 from gatebank.core.state import BalancerState
-from gatebank.events import GIVEN_UP, AttemptResult, LatencyEstimate, Outcome, Phase
+from gatebank.events import GIVEN_UP_OUTCOMES, AttemptResult, LatencyEstimate, Outcome, Phase
 from gatebank.peer_messages import LlrDelta
 from gatebank.policy.outlier import EJECTION_FAILURE_RATE, UNRESPONSIVE_SILENCE
 from gatebank.policy.sequential_test import SequentialTest, llr_step, odds_of
@@ -65,7 +70,7 @@
     """
     usual = _usual_latency(state, attempt.latency_key)
     late = result.duration > LATE_FACTOR * usual.mean
-    given_up_too_soon = result.outcome in GIVEN_UP and result.duration < LATE_FACTOR * usual.mean
+    given_up_too_soon = result.outcome in GIVEN_UP_OUTCOMES and result.duration < LATE_FACTOR * usual.mean
     if state.age(attempt.endpoint) < SETTLING_S or given_up_too_soon:
         return None
     in_canary_phase = state.release is not None and state.release.phase is Phase.CANARY
@@ -79,13 +84,15 @@
     if state.test and compares_latency:
         # Ratio of the medians over the canary's and the baseline's endpoints. The fleet's ratio is used
         # where it is known, because this instance may have too little traffic for its own.
-        slowness = state.fleet.canary_slowness or median_slowness(state, state.test.build)
+        slowness = state.fleet.canary_latency_ratio or median_latency_ratio(state, state.test.build)
         slower = usual.samples >= RELIABLE_SAMPLES and slowness > SLOW_CANARY_RATIO
         if _allows_drift_comparison(state, state.test, attempt, result):
             late_drift = _late_by_drift(state, attempt, result) and slowness > FAST_CANARY_RATIO
-            deltas.append(_count_outcome(state, state.test, Statistic.LATE_EVERYWHERE, attempt, late_drift))
+            deltas.append(
+                _count_outcome(state, state.test, Statistic.LATE_VERSUS_BEFORE_CANARY, attempt, late_drift)
+            )
     if result.outcome is Outcome.SUCCESS and latency_valid and (is_baseline or not in_canary_phase):
-        learn_baseline_latency(state, attempt.latency_key, result.duration, BASELINE_LATENCY_WEIGHT)
+        record_baseline_latency(state, attempt.latency_key, result.duration, BASELINE_LATENCY_WEIGHT)
     if is_baseline or not (in_canary_phase or state.canary_seen):
         _count_baseline(state, attempt, result, late and usual.mean > 0)
     elif state.test and attempt.build == state.test.build:
@@ -94,13 +101,15 @@
             outcomes += ((state.test.oldest_statistic, result.outcome is Outcome.ERROR),)
         deltas += [_count_outcome(state, state.test, statistic, attempt, bad) for statistic, bad in outcomes]
         if compares_latency and usual.samples >= RELIABLE_SAMPLES:
-            deltas.append(_count_outcome(state, state.test, Statistic.LATE, attempt, late and slower))
+            deltas.append(
+                _count_outcome(state, state.test, Statistic.LATE_VERSUS_BASELINE, attempt, late and slower)
+            )
     return [delta for delta in deltas if delta]
 
 
 def _usual_latency(state: BalancerState, key: tuple[int, int]) -> LatencyEstimate:
     """Return the baseline's latency: the fleet's where this instance has too few samples of its own."""
-    own = state.latencies.baseline.get(key, UNKNOWN)
+    own = state.latencies.baseline.get(key, UNKNOWN_LATENCY)
     if own.samples < RELIABLE_SAMPLES and key in state.fleet.baseline_latency:
         return LatencyEstimate(state.fleet.baseline_latency[key].per_answer, RELIABLE_SAMPLES)
     return own
@@ -131,7 +140,7 @@
     """
     needed = min(MIN_OUTCOMES, MIN_OUTCOMES_OF_ALL / state.settings.instance_count)
     enough = test.sums.own[Statistic.ERRORS].outcomes >= needed
-    before = state.latencies.before_canary.get(attempt.latency_key, UNKNOWN).mean
+    before = state.latencies.before_canary.get(attempt.latency_key, UNKNOWN_LATENCY).mean
     return enough and result.outcome is Outcome.SUCCESS and before > 0
 
 
@@ -142,7 +151,7 @@
     answer counts as late only if there is no more traffic than before.
     """
     before = state.latencies.before_canary[attempt.latency_key].mean
-    drift = learn_drift(state, attempt.endpoint, result.duration / before, DRIFT_WEIGHT)
+    drift = record_latency_drift(state, attempt.endpoint, result.duration / before, DRIFT_WEIGHT)
     calm = state.now >= state.latencies.busy_until
     return calm and drift > DRIFT_THRESHOLD and result.duration > LATE_EVERYWHERE_FACTOR * before
 
@@ -170,9 +179,9 @@
     Failures that also occur at the baseline are not held against the canary. Failures of baseline endpoints
     that fail often stay out of the recent rate, as they could hide failures of the canary.
     """
-    outcomes = (*_error_statistics(attempt, result), (Statistic.LATE, late))
+    outcomes = (*_error_statistics(attempt, result), (Statistic.LATE_VERSUS_BASELINE, late))
     healthy = attempt.endpoint.failure_rate < EJECTION_FAILURE_RATE
-    count_baseline(state.baseline_errors, outcomes, healthy, BASELINE_COUNT_DECAY, RECENT_RATE_WEIGHT)
+    count_baseline_outcome(state.baseline_errors, outcomes, healthy, BASELINE_COUNT_DECAY, RECENT_RATE_WEIGHT)
 
 
 def _count_outcome(
@@ -185,16 +194,16 @@
     """
     odds_of_statistic = test.odds_aliases.get(statistic, statistic)
     step = llr_step(odds_of_statistic, bad, _p0(state, odds_of_statistic))
-    if statistic == Statistic.LATE_EVERYWHERE and state.fleet.report:
+    if statistic == Statistic.LATE_VERSUS_BEFORE_CANARY and state.fleet.report:
         step *= min(1.0, INDEPENDENT_FLEET_RATE / max(1.0, state.fleet.report.request_rate))
-    elif statistic == Statistic.LATE:
+    elif statistic == Statistic.LATE_VERSUS_BASELINE:
         step *= min(1.0, INDEPENDENT_ENDPOINT_RATE / max(1.0, load_per_endpoint(state, UNRESPONSIVE_SILENCE)))
-    return test.sums.count_outcome(statistic, step, attempt.endpoint.listed.name_hash, state.random)
+    return test.sums.add_own_outcome(statistic, step, attempt.endpoint.listed.name_hash, state.random)
 
 
 def _p0(state: BalancerState, statistic: int) -> float:
     """Return the baseline's share of bad outcomes; of errors, no less than their recent rate."""
     row = state.baseline_errors[statistic]
-    share = row.bad / row.total if row.total >= RELIABLE_SAMPLES else odds_of(statistic).unknown_p0
+    share = row.bad / row.total if row.total >= RELIABLE_SAMPLES else odds_of(statistic).default_p0
     p0 = min(MAX_P0, max(MIN_P0, share))
-    return p0 if statistic == Statistic.LATE else max(p0, min(MAX_RECENT_P0, row.recent_rate))
+    return p0 if statistic == Statistic.LATE_VERSUS_BASELINE else max(p0, min(MAX_RECENT_P0, row.recent_rate))
