--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -60,11 +60,11 @@
     """Spoils one capture again and again."""
 
     def __init__(self, seed: int) -> None:
-        from tests.support.capture_scenarios import conversation  # after atheris has instrumented
+        from tests.support.capture_scenarios import sample_capture  # after atheris has instrumented
 
         self.seed = seed
         self.generator = random.Random(seed)
-        self.tape = conversation()
+        self.tape = sample_capture()
         self.data = self.tape.data()
         self.packets = list(self.tape.packets)
         self.progress = Progress()
@@ -85,23 +85,23 @@
 
     def read_spoilt_bytes(self) -> None:
         """Read a file with changed bytes: it must end without an exception."""
-        from tests.support.capture_builder import read
+        from tests.support.capture_builder import read_capture
 
         piece = self.generator.choice([0, 1, 13, 1000])
-        exchanges, _ = read(spoil(self.generator, self.data), piece=piece)
+        exchanges, _ = read_capture(spoil(self.generator, self.data), piece=piece)
         self.progress.exchanges += len(exchanges)
 
     def read_spoilt_packets(self) -> None:
         """Read whole packets, some lost or swapped: no reply may go to another's request."""
-        from tests.support.capture_builder import mismatched, read
+        from tests.support.capture_builder import mismatched_exchanges, read_capture
 
         packets = [packet for packet in self.packets if self.generator.random() > LOST_PACKETS]
         for _ in range(self.generator.randrange(4)):
             at = self.generator.randrange(len(packets) - 3)
             packets.insert(at + self.generator.randrange(3), packets.pop(at))
         self.tape.packets = packets
-        exchanges, _ = read(self.tape.data(), piece=self.generator.choice([0, 500]))
-        wrong = mismatched(exchanges, self.tape.sizes)
+        exchanges, _ = read_capture(self.tape.data(), piece=self.generator.choice([0, 500]))
+        wrong = mismatched_exchanges(exchanges, self.tape.value_sizes)
         assert not wrong, (self.seed, self.progress.rounds, wrong)
         self.progress.exchanges += len(exchanges)
 
@@ -114,7 +114,7 @@
         from tests.support import capture_builder
 
     def read_one(data: bytes) -> None:
-        capture_builder.read(data)
+        capture_builder.read_capture(data)
 
     atheris.Setup(sys.argv[:1] + sys.argv[2:], read_one)
     atheris.Fuzz()
--- a/gatebank/capture/compare.py
+++ b/gatebank/capture/compare.py
@@ -15,7 +15,7 @@
 
 from gatebank.capture.records import COMMAND, KEY, Exchange
 
-MAX_WAITING = 1_000_000  # exchanges of one capture that wait for the other's; each takes about 300 bytes
+MAX_UNMATCHED = 1_000_000  # exchanges of one capture that wait for the other's; each takes about 300 bytes
 MAX_EXAMPLES = 1000  # pairs with different outcomes that are named, not only counted
 MAX_LATENCY_US = 3_600_000_000  # an hour; longer ones count as that
 SIGNIFICANT_DIGITS = 3  # of the histograms
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class WaitingExchange:
+class UnmatchedExchange:
     """What is needed of an exchange of the first capture until its match comes.
 
     Attributes:
@@ -119,7 +119,7 @@
     latency_b: HdrHistogram = field(default_factory=latency_histogram)
     slower: HdrHistogram = field(default_factory=latency_histogram)
     faster: HdrHistogram = field(default_factory=latency_histogram)
-    _waiting: dict[bytes, deque[WaitingExchange]] = field(default_factory=dict)
+    _waiting: dict[bytes, deque[UnmatchedExchange]] = field(default_factory=dict)
     _waiting_count: int = 0
     _not_held: int = 0  # of the first capture, beyond MAX_WAITING
 
@@ -133,11 +133,11 @@
         latency = latency_us(exchange)
         if latency is not None:
             self.latency_a.record_value(latency)
-        if self._waiting_count >= MAX_WAITING:
+        if self._waiting_count >= MAX_UNMATCHED:
             self._not_held += 1
             return
         self._waiting_count += 1
-        waiting = WaitingExchange(exchange.ended, latency, exchange.request_class or "", exchange.key or "")
+        waiting = UnmatchedExchange(exchange.ended, latency, exchange.request_class or "", exchange.key or "")
         self._waiting.setdefault(fingerprint(exchange), deque()).append(waiting)
 
     def add_b(self, exchange: Exchange) -> None:
@@ -159,7 +159,7 @@
             histogram = self.slower if latency > first.latency else self.faster
             histogram.record_value(abs(latency - first.latency))
 
-    def _take_match(self, exchange: Exchange) -> WaitingExchange | None:
+    def _take_match(self, exchange: Exchange) -> UnmatchedExchange | None:
         name = fingerprint(exchange)
         equal = self._waiting.get(name)
         if not equal:
--- a/gatebank/capture/connections.py
+++ b/gatebank/capture/connections.py
@@ -24,7 +24,7 @@
     CAPTURE_ENDED = "the capture ends"
 
     @property
-    def is_seen_on_wire(self) -> bool:
+    def is_in_capture(self) -> bool:
         """Whether the capture shows the connection's end: nothing can come behind it."""
         return self in (EndReason.CLOSED, EndReason.RESET)
 
@@ -65,7 +65,7 @@
             return DirectionState.COMPLETE
         return DirectionState.FIN_SEEN
 
-    def learn_syn(self, sequence: int) -> int:
+    def record_syn(self, sequence: int) -> int:
         """Enters the number of a SYN; returns that of the first byte behind it."""
         first = (sequence + 1) & SEQUENCE_MASK
         if self.next_sequence == UNKNOWN:
@@ -77,7 +77,7 @@
         """Bytes from the next byte to deliver on to that number, modulo 2^32."""
         return (sequence - self.next_sequence) & SEQUENCE_MASK
 
-    def missing_before(self, sequence: int) -> int:
+    def missing_bytes_before(self, sequence: int) -> int:
         """Bytes before that number that are still to be delivered; 0 while no number is known."""
         if self.next_sequence == UNKNOWN:
             return 0
@@ -89,7 +89,7 @@
         if self.next_sequence == UNKNOWN:
             return False
         seen = (self.next_sequence - segment.sequence) & SEQUENCE_MASK
-        return len(segment.payload) + segment.missing <= seen <= HALF_SEQUENCE_SPACE
+        return len(segment.payload) + segment.missing_bytes <= seen <= HALF_SEQUENCE_SPACE
 
     def advance(self, size: int) -> None:
         """Moves on over so many bytes, delivered or given up."""
@@ -112,7 +112,7 @@
     side: int
     sequence: int
     payload: bytes
-    missing: int
+    missing_bytes: int
     ack: int
     at: int
     packet: int
@@ -161,14 +161,25 @@
     """
 
     __slots__ = (
-        "_first_sender", "begins_in_capture", "client_side", "decoder", "directions", "end_reason",
-        "last_seen", "names", "number", "packet", "recorded_side", "waiting", "waiting_bytes",
+        "_first_sender",
+        "addresses",
+        "begins_in_capture",
+        "client_side",
+        "decoder",
+        "directions",
+        "end_reason",
+        "last_seen",
+        "number",
+        "packet",
+        "recorded_side",
+        "waiting",
+        "waiting_bytes",
     )  # fmt: skip
 
     def __init__(self, number: int, segment: Segment, at: int) -> None:
         self.number = number
         self.last_seen = at
-        self.names = (
+        self.addresses = (
             address_name(segment.source, segment.source_port),
             address_name(segment.target, segment.target_port),
         )
@@ -187,13 +198,13 @@
         """The side that sent this segment of the connection."""
         return 0 if self._first_sender == (segment.source, segment.source_port) else 1
 
-    def missing_acknowledged(self, segment: WaitingSegment) -> int:
+    def missing_acknowledged_bytes(self, segment: WaitingSegment) -> int:
         """How many bytes of the other direction it acknowledges that have not been delivered."""
         if segment.ack == UNKNOWN:
             return 0
-        return self.directions[1 - segment.side].missing_before(segment.ack)
+        return self.directions[1 - segment.side].missing_bytes_before(segment.ack)
 
-    def learn_starts(self, segment: WaitingSegment, has_bytes: bool) -> None:
+    def infer_initial_sequences(self, segment: WaitingSegment, has_bytes: bool) -> None:
         """Learns from a segment where directions begin whose SYN was not seen.
 
         Only one in order tells it. One from further ahead, such as a copy that the capture has too early,
@@ -205,35 +216,35 @@
         """
         direction = self.directions[segment.side]
         other = self.directions[1 - segment.side]
-        if has_bytes and direction.next_sequence == UNKNOWN and not self.missing_acknowledged(segment):
+        if has_bytes and direction.next_sequence == UNKNOWN and not self.missing_acknowledged_bytes(segment):
             direction.next_sequence = segment.sequence
         if other.next_sequence == UNKNOWN and direction.next_sequence in (UNKNOWN, segment.sequence):
             other.next_sequence = segment.ack  # the receiver has all before this: it is never sent again
 
-    def fits(self, segment: WaitingSegment) -> bool:
+    def can_be_delivered(self, segment: WaitingSegment) -> bool:
         """Whether nothing is missing any more that this segment waits for."""
         direction = self.directions[segment.side]
         if direction.next_sequence == UNKNOWN and self._has_earlier(segment):
             return False
-        if direction.missing_before(segment.sequence):
+        if direction.missing_bytes_before(segment.sequence):
             return False
-        return not self.missing_acknowledged(segment)
+        return not self.missing_acknowledged_bytes(segment)
 
     def _has_earlier(self, segment: WaitingSegment) -> bool:
         """Whether another waiting segment of the same side begins before this one."""
         return any(
-            other.side == segment.side and is_behind(other.sequence, segment.sequence)
+            other.side == segment.side and precedes(other.sequence, segment.sequence)
             for other in self.waiting
         )
 
-    def lacks_received_bytes(self, segment: WaitingSegment) -> bool:
+    def awaits_lost_bytes(self, segment: WaitingSegment) -> bool:
         """Whether what the segment waits for was received, and so is lacking in the capture."""
         direction = self.directions[segment.side]
-        if direction.acked_sequence != UNKNOWN and direction.missing_before(direction.acked_sequence):
+        if direction.acked_sequence != UNKNOWN and direction.missing_bytes_before(direction.acked_sequence):
             return True
-        return self.missing_acknowledged(segment) > 0
+        return self.missing_acknowledged_bytes(segment) > 0
 
-    def first_to_force(self) -> WaitingSegment:
+    def first_to_deliver_by_force(self) -> WaitingSegment:
         """The segment to deliver first if the oldest that waits is to wait no longer.
 
         What the oldest acknowledges, then what lies before it, goes first, where that waits too: segments are
@@ -254,13 +265,13 @@
         if end == UNKNOWN:
             return None
         direction = self.directions[side]
-        limit = direction.missing_before(end)
+        limit = direction.missing_bytes_before(end)
         for segment in self.waiting:
             if segment.side == side and direction.distance(segment.sequence) < limit:
                 return segment
         return None
 
 
-def is_behind(sequence: int, other: int) -> bool:
+def precedes(sequence: int, other: int) -> bool:
     """Whether a sequence number is before another one."""
     return (sequence - other) & SEQUENCE_MASK >= HALF_SEQUENCE_SPACE
--- a/gatebank/capture/filters.py
+++ b/gatebank/capture/filters.py
@@ -48,7 +48,7 @@
         return self._is_in_time(exchange) and self._has_port(exchange) and self._is_member(exchange)
 
     @property
-    def is_open(self) -> bool:
+    def accepts_all(self) -> bool:
         """Whether every exchange is wanted."""
         return all(getattr(self, field.name) is None for field in fields(self))
 
--- a/gatebank/capture/ip_fragments.py
+++ b/gatebank/capture/ip_fragments.py
@@ -31,10 +31,10 @@
         state: What is known of it.
     """
 
-    __slots__ = ("_fragments", "_size", "held_bytes", "since", "state")
+    __slots__ = ("_fragments", "_size", "first_seen_at", "held_bytes", "state")
 
     def __init__(self, since: int) -> None:
-        self.since = since
+        self.first_seen_at = since
         self.held_bytes = 0
         self.state = DatagramState.INCOMPLETE
         self._size = -1  # of the whole payload; known once the last fragment has come
@@ -120,7 +120,7 @@
     def _make_room(self, at: int) -> None:
         while self._datagrams:
             key, oldest = next(iter(self._datagrams.items()))
-            is_recent = at - oldest.since < FRAGMENT_TIMEOUT_NS
+            is_recent = at - oldest.first_seen_at < FRAGMENT_TIMEOUT_NS
             if is_recent and self.held_bytes <= self._limits.max_fragment_bytes:
                 return
             self._forget(key)
--- a/gatebank/capture/packets.py
+++ b/gatebank/capture/packets.py
@@ -18,7 +18,7 @@
 
 MAX_UNKNOWN_TYPES = 4096  # types of unknown blocks that are counted apart
 MIN_TRIM = 1024  # bytes: a buffer is copied to a smaller one once so much of it, and half, is used up
-NO_CAPTURE_TOO_SHORT = "no capture file: it ends after its first bytes"
+TOO_SHORT_MESSAGE = "no capture file: it ends after its first bytes"
 
 
 class PacketReader:
@@ -88,10 +88,10 @@
 
     def _check_end(self) -> None:
         if self._decompressor is None:
-            raise CaptureFormatError(NO_CAPTURE_TOO_SHORT if self._first_bytes else "an empty file")
+            raise CaptureFormatError(TOO_SHORT_MESSAGE if self._first_bytes else "an empty file")
         self._decompressor.end()
         if self._format is None:
-            raise CaptureFormatError(NO_CAPTURE_TOO_SHORT)
+            raise CaptureFormatError(TOO_SHORT_MESSAGE)
         if self._buffer or self._format.is_inside_block:
             raise CaptureFormatError("the file ends in the middle of a packet")
 
--- a/gatebank/capture/pairing.py
+++ b/gatebank/capture/pairing.py
@@ -143,7 +143,7 @@
         exchange = paired.exchange
         side = record_response(exchange, paired.reply, paired.at, paired.packet)
         if side is not None:
-            self._collector.learn_side(self.server, side)
+            self._collector.record_server_side(self.server, side)
         if exchange.is_reported:
             self._collector.counts.answers_not_paired += 1  # it came after it was given up
         else:
@@ -169,9 +169,9 @@
     def on_response_gap(self, at: int) -> None:
         """Bytes of responses are missing: which commands they answered is not known."""
         self._gap_in_responses = True
-        self.lose_pending(at)
+        self.report_pending_incomplete(at)
 
-    def lose_pending(self, at: int) -> None:
+    def report_pending_incomplete(self, at: int) -> None:
         """Reports what is pending as not whole; order alone pairs nothing any more."""
         if self.state.is_on_probation and self._pending:
             self._reject_held(is_pipelined=False)
--- a/gatebank/capture/reading.py
+++ b/gatebank/capture/reading.py
@@ -16,8 +16,8 @@
 from gatebank.capture.transactions import DecoderFactory, ExchangeCollector
 
 # Counts that say something could not be read or was given up: these, and all with GIVEN_UP in their name.
-TROUBLE_COUNTS = ("unreadable", "holes", "not_whole", "packets_cut", "answers_not_paired", "spoilt")
-GIVEN_UP = "given_up"
+PROBLEM_COUNTS = ("unreadable", "holes", "not_whole", "packets_cut", "answers_not_paired", "spoilt")
+GIVEN_UP_MARKER = "given_up"
 
 
 class CaptureReader:
@@ -83,7 +83,7 @@
             return None
         return self.connections.add(self.segment, at, self.packets.packet_count, side)
 
-    def next_file(self) -> None:
+    def start_next_file(self) -> None:
         """The capture goes on in another file: its packets are counted on from those of the last one."""
         following = PacketReader(self.limits)
         following.continue_counts(self.packets)
@@ -114,10 +114,10 @@
             counts["spoilt"] = self.packets.error.reason
         return counts
 
-    def trouble(self) -> dict[str, int | str]:
+    def problem_counts(self) -> dict[str, int | str]:
         """Of the counts, those that are not 0 and say that something could not be read or was given up."""
         return {
             name: value
             for name, value in self.counts().items()
-            if value and (name in TROUBLE_COUNTS or GIVEN_UP in name)
+            if value and (name in PROBLEM_COUNTS or GIVEN_UP_MARKER in name)
         }
--- a/gatebank/capture/reassembly.py
+++ b/gatebank/capture/reassembly.py
@@ -23,7 +23,7 @@
     DirectionState,
     EndReason,
     WaitingSegment,
-    is_behind,
+    precedes,
 )
 from gatebank.capture.limits import ReadingLimits
 from gatebank.capture.segments import ACK, FIN, RST, SYN, Segment
@@ -32,7 +32,7 @@
 # ns of the capture's clock that an acknowledged byte may come late: the disorder between two taps.
 MAX_LATENESS_NS = 200_000_000
 # ns that an ended connection is remembered, so that late copies of its packets open no new one.
-LINGER_NS = 60_000_000_000
+ENDED_CONNECTION_RETENTION_NS = 60_000_000_000
 # Bytes: a segment further ahead than the largest usual windows belongs to another connection.
 MAX_AHEAD_BYTES = 1 << 24
 
@@ -141,7 +141,10 @@
             self._take_in(connection, connection.side_of(segment), segment, at)
         elif segment.payload:
             self.counts.sent_again += 1
-        if self._connections and self._now - next(iter(self._connections.values())).last_seen > LINGER_NS:
+        if (
+            self._connections
+            and self._now - next(iter(self._connections.values())).last_seen > ENDED_CONNECTION_RETENTION_NS
+        ):
             self._remove_idle()
         return connection
 
@@ -164,7 +167,7 @@
         if connection is not None:
             self._connections.move_to_end(key)
             return connection
-        if segment.payload or segment.missing or segment.flags & SYN:
+        if segment.payload or segment.missing_bytes or segment.flags & SYN:
             return self._open(key, segment, at)
         self.counts.ends_without_data += 1  # the end of one that this capture no longer holds
         return None
@@ -202,7 +205,7 @@
         idle_ns = int(self._limits.idle_timeout * NS_PER_SECOND)
         for key, connection in list(self._connections.items()):
             silence = self._now - connection.last_seen
-            if silence <= min(LINGER_NS, idle_ns):
+            if silence <= min(ENDED_CONNECTION_RETENTION_NS, idle_ns):
                 return
             if all(direction.fin_sequence != UNKNOWN for direction in connection.directions):
                 self._end(connection, self._now, EndReason.CLOSED)
@@ -235,12 +238,14 @@
         flags = segment.flags
         sequence = segment.sequence
         if flags & SYN:
-            sequence = direction.learn_syn(sequence)
+            sequence = direction.record_syn(sequence)
         ack = segment.ack if flags & ACK else UNKNOWN
-        arrived = WaitingSegment(side, sequence, segment.payload, segment.missing, ack, at, connection.packet)
-        has_bytes = bool(segment.payload) or segment.missing > 0
+        arrived = WaitingSegment(
+            side, sequence, segment.payload, segment.missing_bytes, ack, at, connection.packet
+        )
+        has_bytes = bool(segment.payload) or segment.missing_bytes > 0
         if UNKNOWN in (direction.next_sequence, other.next_sequence):
-            connection.learn_starts(arrived, has_bytes or bool(flags & FIN))
+            connection.infer_initial_sequences(arrived, has_bytes or bool(flags & FIN))
         if ack != UNKNOWN:
             other.acked_sequence = ack
         if flags & RST:
@@ -251,7 +256,7 @@
         elif connection.waiting:
             self._deliver_waiting(connection, at)
         if flags & FIN:
-            direction.fin_sequence = (sequence + len(segment.payload) + segment.missing) & SEQUENCE_MASK
+            direction.fin_sequence = (sequence + len(segment.payload) + segment.missing_bytes) & SEQUENCE_MASK
         if UNKNOWN not in (direction.fin_sequence, other.fin_sequence):
             self._end_if_complete(connection, at)
 
@@ -260,8 +265,8 @@
         side = segment.side
         if not connection.waiting and segment.sequence == connection.directions[side].next_sequence:
             acknowledged_next = connection.directions[1 - side].next_sequence
-            if segment.ack in (UNKNOWN, acknowledged_next) or is_behind(segment.ack, acknowledged_next):
-                self._deliver(connection, side, segment.at, segment.payload, segment.missing)
+            if segment.ack in (UNKNOWN, acknowledged_next) or precedes(segment.ack, acknowledged_next):
+                self._deliver(connection, side, segment.at, segment.payload, segment.missing_bytes)
                 return
         self._wait(connection, segment)
 
@@ -295,7 +300,7 @@
 
     def _wait(self, connection: Connection, segment: WaitingSegment) -> None:
         direction = connection.directions[segment.side]
-        ahead = direction.missing_before(segment.sequence)
+        ahead = direction.missing_bytes_before(segment.sequence)
         if direction.has_delivered(segment):
             self.counts.sent_again += 1
             return
@@ -319,14 +324,14 @@
     def _deliver_waiting(self, connection: Connection, at: int) -> None:
         """Delivers what fits by now, and by force what has waited for too long or takes too much room."""
         while connection.waiting:
-            fitting = next((each for each in connection.waiting if connection.fits(each)), None)
+            fitting = next((each for each in connection.waiting if connection.can_be_delivered(each)), None)
             if fitting is not None:
                 self._deliver_from_waiting(connection, fitting)
                 continue
             oldest = connection.waiting[0]
             if self._holds_too_much(connection):
                 self.counts.given_up_gap += 1
-            elif at - oldest.at < MAX_LATENESS_NS or not connection.lacks_received_bytes(oldest):
+            elif at - oldest.at < MAX_LATENESS_NS or not connection.awaits_lost_bytes(oldest):
                 return
             self._force_oldest(connection)
 
@@ -337,10 +342,10 @@
 
     def _force_oldest(self, connection: Connection) -> None:
         """Skips the gap that the oldest waiting segment waits for, in the order in which things were sent."""
-        segment = connection.first_to_force()
-        if size := connection.missing_acknowledged(segment):
+        segment = connection.first_to_deliver_by_force()
+        if size := connection.missing_acknowledged_bytes(segment):
             self._skip(connection, 1 - segment.side, segment.at, size)
-        if ahead := connection.directions[segment.side].missing_before(segment.sequence):
+        if ahead := connection.directions[segment.side].missing_bytes_before(segment.sequence):
             self._skip(connection, segment.side, segment.at, ahead)
         self._deliver_from_waiting(connection, segment)
 
@@ -349,16 +354,16 @@
         connection.waiting.remove(segment)
         connection.waiting_bytes -= segment.held_bytes
         self.held_bytes -= segment.held_bytes
-        connection.learn_starts(segment, has_bytes=True)
+        connection.infer_initial_sequences(segment, has_bytes=True)
         direction = connection.directions[segment.side]
         seen = (direction.next_sequence - segment.sequence) & SEQUENCE_MASK
         size = len(segment.payload)
         packet_at_hand = connection.packet
         connection.packet = segment.packet
         if seen < size:
-            self._deliver(connection, segment.side, segment.at, segment.payload[seen:], segment.missing)
-        elif seen < size + segment.missing:
-            self._deliver(connection, segment.side, segment.at, b"", size + segment.missing - seen)
+            self._deliver(connection, segment.side, segment.at, segment.payload[seen:], segment.missing_bytes)
+        elif seen < size + segment.missing_bytes:
+            self._deliver(connection, segment.side, segment.at, b"", size + segment.missing_bytes - seen)
         else:
             self.counts.sent_again += 1
         connection.packet = packet_at_hand
--- a/gatebank/capture/records.py
+++ b/gatebank/capture/records.py
@@ -21,7 +21,7 @@
 ID = 2
 PARAMETERS = 3  # "c=pay,t=all,d=500,k=1f": request class, tenant, timeout in ms, idempotency key
 BODY = 4
-MAX_NUMBER_BYTES = 15  # of a timeout: longer ones are nonsense
+MAX_TIMEOUT_DIGITS = 15  # of a timeout: longer ones are nonsense
 
 
 class ExchangeOutcome(StrEnum):
@@ -33,7 +33,7 @@
     NO_RESPONSE = "none"
 
 
-ENDINGS = tuple(outcome.value for outcome in ExchangeOutcome)
+OUTCOME_VALUES = tuple(outcome.value for outcome in ExchangeOutcome)
 
 
 @dataclass(slots=True, eq=False)
@@ -127,7 +127,7 @@
             return RetrySafety.IDEMPOTENT
         return RetrySafety.KEYED if self.idempotency_key else RetrySafety.NON_IDEMPOTENT
 
-    def row(self) -> dict[str, Any]:
+    def to_row(self) -> dict[str, Any]:
         """The record for programs, as JSON or columns: exactly KEYS."""
         body = self.body
         values = (
@@ -156,6 +156,6 @@
     >>> [parse_milliseconds(data) for data in (b"480", b"0.5", b"-1", b"9" * 99)]
     [480, 0.5, None, None]
     """
-    if not data or len(data) > MAX_NUMBER_BYTES or not data.replace(b".", b"", 1).isdigit():
+    if not data or len(data) > MAX_TIMEOUT_DIGITS or not data.replace(b".", b"", 1).isdigit():
         return None
     return float(data) if b"." in data else int(data)
--- a/gatebank/capture/resp2.py
+++ b/gatebank/capture/resp2.py
@@ -44,7 +44,7 @@
         self.parts.append(data)
         self.size += len(data)
 
-    def take(self) -> bytes:
+    def take_all(self) -> bytes:
         """All bytes held; the buffer is empty then."""
         data = b"".join(self.parts)
         self.parts = []
@@ -103,7 +103,7 @@
         """See `ConnectionDecoder.on_gap`."""
         buffer = self._directions[side]
         if self._client_side == UNKNOWN:
-            buffer.take()
+            buffer.take_all()
             return
         rest = self._take(buffer)
         if side != self._client_side:
@@ -120,7 +120,7 @@
             return
         commands = self._directions[self._client_side]
         responses = self._directions[1 - self._client_side]
-        self._pairing.on_end(at, reason.is_seen_on_wire, responses.size > 0)
+        self._pairing.on_end(at, reason.is_in_capture, responses.size > 0)
         rest = self._take(commands)
         if commands.is_at_message and rest:
             self._report_partial_command(commands, rest)
@@ -130,7 +130,7 @@
 
     def _take(self, buffer: MessageBuffer) -> bytes:
         self._collector.held_bytes -= buffer.size
-        return buffer.take()
+        return buffer.take_all()
 
     def _hold(self, side: int, at: int, rest: bytes, needed: int) -> None:
         """Holds the bytes of a message that is not complete; ``needed``: its size as far as it is known."""
@@ -154,7 +154,7 @@
 
     def _set_client(self, side: int) -> None:
         self._client_side = side
-        self._pairing.server = self._connection.names[1 - side]
+        self._pairing.server = self._connection.addresses[1 - side]
 
     def _find_client(self, side: int, data: bytes) -> bool:
         """Where the capture began amid a connection: whoever sends a command is its client."""
@@ -241,8 +241,8 @@
         is_complete = asked_at is not None
         side = (connection.recorded_side or "") if is_complete else ""
         exchange = Exchange(
-            asked_at, connection.names[self._client_side], self._pairing.server, side, arguments, is_complete,
-            connection.number, buffer.first_packet or connection.packet,
+            asked_at, connection.addresses[self._client_side], self._pairing.server, side, arguments,
+            is_complete, connection.number, buffer.first_packet or connection.packet,
         )  # fmt: skip
         exchange.last_packet = connection.packet
         exchange.parse_parameters()
@@ -276,7 +276,7 @@
         self._hold(1 - self._client_side, at, data[inbox.start :], inbox.bytes_needed)
 
     def _lose_pending(self, at: int) -> None:
-        self._pairing.lose_pending(at)
+        self._pairing.report_pending_incomplete(at)
         self._take(self._directions[1 - self._client_side])
 
 
--- a/gatebank/capture/segments.py
+++ b/gatebank/capture/segments.py
@@ -70,7 +70,7 @@
     ack: int
     flags: int
     payload: bytes
-    missing: int
+    missing_bytes: int
 
 
 @lru_cache(maxsize=4096)
--- a/gatebank/capture/transactions.py
+++ b/gatebank/capture/transactions.py
@@ -128,7 +128,7 @@
             self.counts.given_up_patience += 1
             self.report(oldest)
 
-    def learn_side(self, server: str, side: str) -> None:
+    def record_server_side(self, server: str, side: str) -> None:
         """Remembers that a server's responses showed which side of an instance it is."""
         if server not in self._side_of_server and len(self._side_of_server) < MAX_KNOWN_SERVERS:
             self._side_of_server[server] = side
--- a/gatebank/capture/writing.py
+++ b/gatebank/capture/writing.py
@@ -111,12 +111,12 @@
     __slots__ = ("_hosts", "_ip_checksum", "_ip_id", "_ports", "_tcp_checksum", "_version", "sequences")
 
     def __init__(
-        self, ends: tuple[tuple[str, int], tuple[str, int]], first_sequences: tuple[int, int]
+        self, ends: tuple[tuple[str, int], tuple[str, int]], initial_sequences: tuple[int, int]
     ) -> None:
         addresses = [ipaddress.ip_address(host.partition("%")[0]) for host, _ in ends]
         if addresses[0].version != addresses[1].version:
             raise IpVersionMismatchError
-        self.sequences = list(first_sequences)
+        self.sequences = list(initial_sequences)
         self._version = addresses[0].version
         self._hosts = tuple(address.packed for address in addresses)
         self._ports = (ends[0][1], ends[1][1])
--- a/gatebank/cli/capture/check.py
+++ b/gatebank/cli/capture/check.py
@@ -27,7 +27,7 @@
     """
     with clean_end(lambda: f"{source.reading.packets.packet_count} packets"):
         counts = count(source)
-        trouble = source.reading.trouble()
+        trouble = source.reading.problem_counts()
         if as_json:
             print_json(counts, trouble, source.incomplete)
         else:
--- a/gatebank/cli/capture/show.py
+++ b/gatebank/cli/capture/show.py
@@ -73,7 +73,7 @@
 
 def json_row(exchange: Exchange) -> bytes:
     """Return an exchange as a JSON object."""
-    return orjson.dumps(exchange.row())
+    return orjson.dumps(exchange.to_row())
 
 
 def table_row(exchange: Exchange) -> bytes:
@@ -111,7 +111,7 @@
     """Yield the exchanges' rows, many at a time."""
     batch: list[dict[str, Any]] = []
     for exchange in exchanges:
-        batch.append(exchange.row())
+        batch.append(exchange.to_row())
         if len(batch) >= PARQUET_BATCH_ROWS:
             yield batch
             batch = []
--- a/gatebank/cli/capture/source.py
+++ b/gatebank/cli/capture/source.py
@@ -10,7 +10,7 @@
 from gatebank.capture.filters import ExchangeFilter
 from gatebank.capture.limits import ReadingLimits
 from gatebank.capture.reading import CaptureReader
-from gatebank.capture.records import ENDINGS, SIDES, Exchange
+from gatebank.capture.records import OUTCOME_VALUES, SIDES, Exchange
 from gatebank.capture.timestamps import parse_time
 from gatebank.cli.capture.options import (
     CommonFilterOptions,
@@ -42,7 +42,7 @@
         CommandLineError: An option has a value that it cannot have.
     """
     rest = options if isinstance(options, FilterOptions) else FilterOptions()
-    check_choices("--ended", rest.ended, ENDINGS)
+    check_choices("--ended", rest.ended, OUTCOME_VALUES)
     check_choices("--side", options.side, SIDES)
     for port in rest.port or ():
         if not 0 < port < 65536:
@@ -169,7 +169,7 @@
                 raise CommandLineError(packets.error, path)
             self.incomplete.append(f"{path}: {packets.error}")
         if path != self.files[-1]:
-            self.reading.next_file()
+            self.reading.start_next_file()
 
 
 def reading_bounds(limits: ReadingLimitOptions) -> ReadingLimits:
