--- a/gatebank/capture/__init__.py
+++ b/gatebank/capture/__init__.py
@@ -1,29 +1,29 @@
-"""Traffic in capture files: packets, TCP reassembly, RESP2 exchanges, records. No I/O.
+"""Analysis of traffic in capture files: packets, TCP reassembly, RESP2 exchanges, records. No I/O.
 
-Reading, one layer on another:
+The modules that read a capture, from the lowest layer to the highest:
 
-compression.py   gzip and zstd, by pieces
-pcap.py          the classic file format
-pcapng.py        the newer one: sections, interfaces, blocks
-packet.py        a packet, and what the parsers of both formats offer
-packets.py       a file of either format, compressed or not, to packets
-segments.py      a packet to its TCP segment
-ip_fragments.py  IP datagrams that came in fragments
-connections.py   what is known of a connection and of each of its directions
-reassembly.py    segments to the bytes of connections, in order, with their gaps
-resp2.py         bytes to commands and responses
-pairing.py       which response belongs to which command: a state machine
-responses.py     what a response says of its exchange
-transactions.py  the exchanges of all connections
+compression.py   decompress gzip and zstd incrementally
+pcap.py          parse the classic pcap file format
+pcapng.py        parse the pcapng file format: sections, interfaces, blocks
+packet.py        the packet type, and the interface of the two format parsers
+packets.py       read packets from a file of either format, compressed or not
+segments.py      decode a packet to its TCP segment
+ip_fragments.py  reassemble fragmented IP datagrams
+connections.py   the state of a TCP connection and of its two directions
+reassembly.py    put the segments of each connection in order, and report gaps
+resp2.py         parse the byte streams into commands and responses
+pairing.py       a state machine that pairs each response with its command
+responses.py     derive an exchange's outcome from its response
+transactions.py  collect the exchanges of all connections
 records.py       the record of an exchange
-reading.py       all of these in a row, with counts
+reading.py       the whole chain from file to exchanges, with counters
 
-limits.py        what reading holds in memory and waits for
-errors.py        errors, with file, offset and reason
-timestamps.py    times as a user gives them, and as text
-filters.py       which exchanges are wanted
-table.py         exchanges as a table for people
-terminal.py      text made safe for a terminal
-compare.py       exchanges of two captures matched
-writing.py       blocks of pcapng, and conversations as packets
+limits.py        limits on memory and waiting times while reading
+errors.py        exceptions, with file, offset and reason
+timestamps.py    parse and format times
+filters.py       select exchanges
+table.py         format exchanges as a table
+terminal.py      make text safe to print on a terminal
+compare.py       match the exchanges of two captures
+writing.py       write pcapng blocks, and connections as packets
 """
--- a/gatebank/capture/compare.py
+++ b/gatebank/capture/compare.py
@@ -1,7 +1,8 @@
-"""Exchanges of two captures matched: what ended otherwise, what is in one only, latencies. No I/O.
+"""Matching of the exchanges of two captures: changed outcomes, unmatched exchanges, latencies. No I/O.
 
-A replay's ids are new, so exchanges match by what stays the same: request class, tenant, key, whether there
-is an idempotency key, and body; among equal ones, in the order of asking.
+A replay assigns new request ids, so exchanges are matched by the properties that a replay keeps: side,
+command, request class, tenant, key, presence of an idempotency key, and body. Exchanges that are equal in all
+of these are matched in the order in which they were read.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 
 from gatebank.capture.records import COMMAND, KEY, Exchange
 
-MAX_UNMATCHED = 1_000_000  # exchanges of one capture that wait for the other's; each takes about 300 bytes
-MAX_EXAMPLES = 1000  # pairs with different outcomes that are named, not only counted
-MAX_LATENCY_US = 3_600_000_000  # an hour; longer ones count as that
-SIGNIFICANT_DIGITS = 3  # of the histograms
+MAX_UNMATCHED = 1_000_000  # Exchanges of the first capture kept for matching, about 300 bytes each.
+MAX_EXAMPLES = 1000  # Pairs with different outcomes that are listed; further pairs are only counted.
+MAX_LATENCY_US = 3_600_000_000  # One hour; longer latencies are recorded as one hour.
+SIGNIFICANT_DIGITS = 3  # Precision of the latency histograms.
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 NS_PER_US = 1000
 US_PER_MS = 1000
@@ -26,12 +27,12 @@
 
 
 def latency_histogram() -> HdrHistogram:
-    """A histogram of us, from 1 us to an hour."""
+    """Create an empty latency histogram in microseconds, from 1 us to one hour."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """PERCENTILES in ms, by names like "p99.9"; empty where nothing was counted."""
+    """Return the PERCENTILES in ms by names such as "p99.9"; empty if the histogram has no values."""
     if not histogram.get_total_count():
         return {}
     return {
@@ -41,14 +42,14 @@
 
 
 def latency_us(exchange: Exchange) -> int | None:
-    """Microseconds from command to response, at least 1; None if one of the times is not known."""
+    """Return the microseconds from command to response, at least 1; None if either time is unknown."""
     if exchange.asked_at is None or exchange.answered_at is None:
         return None
     return min(MAX_LATENCY_US, max(1, (exchange.answered_at - exchange.asked_at) // NS_PER_US))
 
 
 def fingerprint(exchange: Exchange) -> bytes:
-    """A hash of what a replay leaves as it was."""
+    """Return a hash of the properties that a replay does not change."""
     arguments = exchange.arguments
     parts = [
         exchange.side.encode(),
@@ -65,13 +66,13 @@
 
 @dataclass(slots=True, frozen=True)
 class UnmatchedExchange:
-    """What is needed of an exchange of the first capture until its match comes.
+    """An exchange of the first capture that has no match in the second capture so far.
 
     Attributes:
-        ended: Its outcome.
-        latency: us from command to response; None if not known.
-        request_class: Its request class; may be empty.
-        key: Its key; may be empty.
+        ended: The outcome.
+        latency: Microseconds from command to response; None if unknown.
+        request_class: The request class; empty if unknown.
+        key: The key; empty if unknown.
     """
 
     ended: str
@@ -81,14 +82,14 @@
 
 
 class OutcomeChange(NamedTuple):
-    """The outcomes of a matched pair in the two captures."""
+    """The two outcomes of a matched pair, ``a`` in the first capture and ``b`` in the second."""
 
     a: str
     b: str
 
 
 class ChangedExchange(NamedTuple):
-    """A matched pair that ended otherwise: its request class and key, and its two outcomes."""
+    """A matched pair with different outcomes: its request class, its key and the two outcomes."""
 
     request_class: str
     key: str
@@ -98,17 +99,19 @@
 
 @dataclass(slots=True)
 class Comparison:
-    """Matches two captures; it is given all of the first by `add_a`, then the second by `add_b`.
+    """Matches the exchanges of two captures.
+
+    All exchanges of the first capture are added with `add_a` before those of the second with `add_b`.
 
     Attributes:
-        matched: Pairs.
-        only_b: Exchanges of the second capture that match none of the first.
-        changes: How often an outcome became another one.
-        examples: The first MAX_EXAMPLES pairs that ended otherwise.
-        latency_a: us, of all of the first capture.
-        latency_b: us, of all of the second capture.
-        slower: By how many us the second was slower, of pairs where it was.
-        faster: By how many us the second was faster, of pairs where it was.
+        matched: Number of matched pairs.
+        only_b: Number of exchanges of the second capture that match none of the first.
+        changes: Number of pairs by their two outcomes, for pairs whose outcomes differ.
+        examples: The first MAX_EXAMPLES pairs whose outcomes differ.
+        latency_a: Latencies of the first capture in us.
+        latency_b: Latencies of the second capture in us.
+        slower: Latency increases in us of the pairs that were slower in the second capture.
+        faster: Latency decreases in us of the pairs that were faster in the second capture.
     """
 
     matched: int = 0
@@ -121,15 +124,15 @@
     faster: HdrHistogram = field(default_factory=latency_histogram)
     _waiting: dict[bytes, deque[UnmatchedExchange]] = field(default_factory=dict)
     _waiting_count: int = 0
-    _not_held: int = 0  # of the first capture, beyond MAX_WAITING
+    _not_held: int = 0  # Exchanges of the first capture beyond MAX_UNMATCHED, which cannot be matched.
 
     @property
     def only_a(self) -> int:
-        """Exchanges of the first capture that match none of the second, as far as that has been read."""
+        """Number of exchanges of the first capture without a match among those added from the second."""
         return self._waiting_count + self._not_held
 
     def add_a(self, exchange: Exchange) -> None:
-        """Adds an exchange of the first capture."""
+        """Add an exchange of the first capture."""
         latency = latency_us(exchange)
         if latency is not None:
             self.latency_a.record_value(latency)
@@ -141,7 +144,7 @@
         self._waiting.setdefault(fingerprint(exchange), deque()).append(waiting)
 
     def add_b(self, exchange: Exchange) -> None:
-        """Adds an exchange of the second capture."""
+        """Add an exchange of the second capture and match it with one of the first."""
         latency = latency_us(exchange)
         if latency is not None:
             self.latency_b.record_value(latency)
@@ -160,12 +163,12 @@
             histogram.record_value(abs(latency - first.latency))
 
     def _take_match(self, exchange: Exchange) -> UnmatchedExchange | None:
-        name = fingerprint(exchange)
-        equal = self._waiting.get(name)
-        if not equal:
+        digest = fingerprint(exchange)
+        candidates = self._waiting.get(digest)
+        if not candidates:
             return None
-        first = equal.popleft()
-        if not equal:
-            del self._waiting[name]
+        first = candidates.popleft()
+        if not candidates:
+            del self._waiting[digest]
         self._waiting_count -= 1
         return first
--- a/gatebank/capture/compression.py
+++ b/gatebank/capture/compression.py
@@ -1,4 +1,4 @@
-"""Decompression of capture files, by pieces: gzip, zstd or none. No I/O."""
+"""Incremental decompression of capture files: gzip, zstd or none. No I/O."""
 
 from __future__ import annotations
 
@@ -11,52 +11,54 @@
 
 GZIP_MAGIC = b"\x1f\x8b"
 ZSTD_MAGIC = b"\x28\xb5\x2f\xfd"
-MAGIC_BYTES = 4  # bytes of a file needed to tell its compression and its format
-MAX_GZIP_OUTPUT = 1 << 20  # bytes that gzip may give at once, so that a small input can't fill the memory
-ZSTD_INPUT = 4096  # bytes given to zstd at once: it returns all that they hold, so this limits its output
-MAX_ZSTD_WINDOW = 1 << 27  # bytes that a zstd frame may ask us to hold
-GZIP_WINDOW_BITS = 31  # zlib's way to ask for the gzip format with its largest window
+MAGIC_BYTES = 4  # Bytes at a file's start that identify its compression and its format.
+MAX_GZIP_OUTPUT = 1 << 20  # Bytes decompressed per gzip call, so that a small input cannot fill the memory.
+# Compressed bytes passed to zstd per call. zstd returns all data that its input holds, so this limits the
+# output.
+ZSTD_INPUT = 4096
+MAX_ZSTD_WINDOW = 1 << 27  # Largest window in bytes that a zstd frame may require.
+GZIP_WINDOW_BITS = 31  # zlib's code for the gzip format (16) with the largest window (15 bits).
 
 
 class Decompressor(Protocol):
-    """Turns the bytes of a file into the bytes that it had before compression."""
+    """Decompresses the bytes of a file."""
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """The decompressed bytes of ``data``, by pieces.
+        """Decompress ``data`` and yield the result in pieces.
 
         Raises:
-            CaptureFormatError: ``data`` is not in the expected compressed form.
+            CaptureFormatError: ``data`` is not valid in the compressed format.
         """
         ...
 
     def end(self) -> None:
-        """Tells that the file has ended.
+        """Report the end of the file.
 
         Raises:
-            CaptureFormatError: The compressed stream is not complete.
+            CaptureFormatError: The compressed stream is incomplete.
         """
         ...
 
 
 class NoCompression:
-    """Passes the bytes of an uncompressed file through."""
+    """Passes the bytes of an uncompressed file through unchanged."""
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """See `Decompressor.feed`; raises nothing."""
+        """See `Decompressor.feed`; never raises."""
         yield data
 
     def end(self) -> None:
-        """See `Decompressor.end`; raises nothing."""
+        """See `Decompressor.end`; never raises."""
 
 
 class GzipDecompressor:
-    """gzip, with any number of members one behind another (RFC 1952)."""
+    """Decompresses gzip files of any number of concatenated members (RFC 1952)."""
 
     def __init__(self) -> None:
         self._member = zlib.decompressobj(GZIP_WINDOW_BITS)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """See `Decompressor.feed`. Zero bytes behind the last member are padding."""
+        """See `Decompressor.feed`. Zero bytes after the last member are ignored as padding."""
         try:
             while data:
                 if self._member.eof:
@@ -75,17 +77,17 @@
 
 
 class ZstdDecompressor:
-    """zstd, with any number of frames one behind another (RFC 8878).
+    """Decompresses zstd files of any number of concatenated frames (RFC 8878).
 
     Raises:
-        ImportError: The package zstandard, part of the extra `capture`, is not installed.
+        ImportError: The package zstandard of the extra `capture` is not installed.
     """
 
     def __init__(self) -> None:
-        zstandard = importlib.import_module("zstandard")  # optional: only where such a file is read
+        zstandard = importlib.import_module("zstandard")  # An optional dependency, imported on first use.
         self._zstd_error: Any = zstandard.ZstdError
         self._context = zstandard.ZstdDecompressor(max_window_size=MAX_ZSTD_WINDOW)
-        self._frame: Any = None  # None between two frames
+        self._frame: Any = None  # Decompressor of the current frame; None between two frames.
 
     def feed(self, data: bytes) -> Iterator[bytes]:
         """See `Decompressor.feed`."""
@@ -109,10 +111,10 @@
 
 
 def decompressor_for(first_bytes: bytes) -> Decompressor:
-    """The decompressor for a file that begins with these bytes, at least MAGIC_BYTES of them.
+    """Create the decompressor for a file from its first bytes, of which MAGIC_BYTES are needed.
 
     Raises:
-        CaptureFormatError: The file is compressed by zstd, and zstandard is not installed.
+        CaptureFormatError: The file is compressed with zstd, but zstandard is not installed.
     """
     if first_bytes.startswith(GZIP_MAGIC):
         return GzipDecompressor()
--- a/gatebank/capture/connections.py
+++ b/gatebank/capture/connections.py
@@ -1,4 +1,4 @@
-"""TCP connections as a capture shows them: what is known of each direction, and what waits. No I/O."""
+"""State of a captured TCP connection: sequence numbers of each direction, and waiting segments. No I/O."""
 
 from __future__ import annotations
 
@@ -7,45 +7,45 @@
 
 from gatebank.capture.segments import Segment, address_name
 
-UNKNOWN = -1  # a sequence number or a side that the capture has not shown
+UNKNOWN = -1  # A sequence number or a side that the capture has not shown yet.
 SEQUENCE_MASK = (1 << 32) - 1
-HALF_SEQUENCE_SPACE = 1 << 31  # a distance beyond it counts as one backwards (RFC 9293)
-WAITING_OVERHEAD = 160  # bytes that a waiting segment takes besides its payload
+HALF_SEQUENCE_SPACE = 1 << 31  # Distances from this on count as negative (RFC 9293).
+WAITING_OVERHEAD = 160  # Bytes of memory that a waiting segment takes in addition to its payload.
 
 
 class EndReason(Enum):
-    """Why a connection is followed no longer."""
+    """Why a connection is no longer tracked."""
 
     CLOSED = "closed"
     RESET = "reset"
-    PORTS_REUSED = "its ports were used again"
+    PORTS_REUSED = "ports reused"
     TOO_MANY_CONNECTIONS = "given up: too many connections"
-    IDLE = "given up: silent for too long"
-    CAPTURE_ENDED = "the capture ends"
+    IDLE = "given up: idle for too long"
+    CAPTURE_ENDED = "end of the capture"
 
     @property
     def is_in_capture(self) -> bool:
-        """Whether the capture shows the connection's end: nothing can come behind it."""
+        """Whether the capture shows the connection's end, so that no further data can follow."""
         return self in (EndReason.CLOSED, EndReason.RESET)
 
 
 class DirectionState(Enum):
-    """How far one direction of a connection has come."""
+    """Progress of one direction of a connection."""
 
-    UNSEEN = auto()  # no sequence number is known
+    UNSEEN = auto()  # No sequence number is known.
     OPEN = auto()
-    FIN_SEEN = auto()  # its end is known, bytes before it are missing
-    COMPLETE = auto()  # all bytes up to its FIN have been delivered
+    FIN_SEEN = auto()  # The FIN was seen, but bytes before the FIN are missing.
+    COMPLETE = auto()  # All bytes up to the FIN have been delivered.
 
 
 class Direction:
     """One direction of a connection. Sequence numbers are UNKNOWN until the capture shows them.
 
     Attributes:
-        next_sequence: The number of the next byte to deliver.
-        syn_sequence: The number of the SYN.
-        acked_sequence: The last acknowledgement that the receiver sent.
-        fin_sequence: The number of the FIN: that behind the last byte.
+        next_sequence: Sequence number of the next byte to deliver.
+        syn_sequence: Sequence number of the SYN.
+        acked_sequence: Last acknowledgement number that the receiver sent.
+        fin_sequence: Sequence number of the FIN, which follows the last byte.
     """
 
     __slots__ = ("acked_sequence", "fin_sequence", "next_sequence", "syn_sequence")
@@ -58,7 +58,7 @@
 
     @property
     def state(self) -> DirectionState:
-        """How far this direction has come."""
+        """Progress of this direction."""
         if self.fin_sequence == UNKNOWN:
             return DirectionState.UNSEEN if self.next_sequence == UNKNOWN else DirectionState.OPEN
         if self.next_sequence in (UNKNOWN, self.fin_sequence):
@@ -66,7 +66,7 @@
         return DirectionState.FIN_SEEN
 
     def record_syn(self, sequence: int) -> int:
-        """Enters the number of a SYN; returns that of the first byte behind it."""
+        """Store the sequence number of a SYN, and return that of the first byte after the SYN."""
         first = (sequence + 1) & SEQUENCE_MASK
         if self.next_sequence == UNKNOWN:
             self.syn_sequence = sequence
@@ -74,39 +74,39 @@
         return first
 
     def distance(self, sequence: int) -> int:
-        """Bytes from the next byte to deliver on to that number, modulo 2^32."""
+        """Return the number of bytes from the next byte to deliver to ``sequence``, modulo 2^32."""
         return (sequence - self.next_sequence) & SEQUENCE_MASK
 
     def missing_bytes_before(self, sequence: int) -> int:
-        """Bytes before that number that are still to be delivered; 0 while no number is known."""
+        """Return the number of undelivered bytes before ``sequence``; 0 while no sequence number is known."""
         if self.next_sequence == UNKNOWN:
             return 0
         ahead = self.distance(sequence)
         return ahead if ahead < HALF_SEQUENCE_SPACE else 0
 
     def has_delivered(self, segment: WaitingSegment) -> bool:
-        """Whether all bytes of a segment have been delivered, or given up."""
+        """Return whether all bytes of a segment have been delivered or skipped as a gap."""
         if self.next_sequence == UNKNOWN:
             return False
         seen = (self.next_sequence - segment.sequence) & SEQUENCE_MASK
         return len(segment.payload) + segment.missing_bytes <= seen <= HALF_SEQUENCE_SPACE
 
     def advance(self, size: int) -> None:
-        """Moves on over so many bytes, delivered or given up."""
+        """Advance the next byte to deliver by ``size`` bytes that were delivered or skipped."""
         self.next_sequence = (self.next_sequence + size) & SEQUENCE_MASK
 
 
 class WaitingSegment(NamedTuple):
-    """A segment that waits: for bytes before it, or for those that it acknowledges.
+    """A segment that waits for earlier bytes of its direction, or for the bytes that it acknowledges.
 
     Attributes:
-        side: Who sent it.
-        sequence: The number of its first byte.
-        payload: Its bytes.
-        missing: Bytes at its end that the snap length cut off.
-        ack: Its acknowledgement number; UNKNOWN if it has none.
-        at: ns of the capture's clock.
-        packet: The number of its packet in the capture.
+        side: The side that sent the segment, 0 or 1.
+        sequence: Sequence number of the first byte.
+        payload: The captured bytes of the payload.
+        missing_bytes: Number of bytes at the payload's end that the snap length cut off.
+        ack: The acknowledgement number; UNKNOWN if the segment has none.
+        at: Time of the segment in ns of the capture's clock.
+        packet: Number of the segment's packet in the capture.
     """
 
     side: int
@@ -119,45 +119,47 @@
 
     @property
     def held_bytes(self) -> int:
-        """Memory that it takes."""
+        """Memory in bytes that the segment takes."""
         return len(self.payload) + WAITING_OVERHEAD
 
 
 class ConnectionDecoder(Protocol):
-    """Decodes what both sides of one connection say, in one protocol.
+    """Decodes the data of both directions of one connection, in one protocol.
 
-    Times are ns of the capture's clock; ``side`` is who sent, as in `Connection`.
+    Times are in ns of the capture's clock; ``side`` is the sending side, as in `Connection`.
     """
 
     def on_data(self, side: int, at: int, data: bytes) -> None:
-        """The next bytes of one direction."""
+        """Process the next bytes of one direction."""
         ...
 
     def on_gap(self, side: int, at: int, size: int) -> None:
-        """The next ``size`` bytes of one direction are not in the capture."""
+        """Process a gap: the next ``size`` bytes of one direction are not in the capture."""
         ...
 
     def on_end(self, at: int, reason: EndReason) -> None:
-        """Nothing more comes of this connection."""
+        """Process the end of the connection, after which no data follows."""
         ...
 
 
 class Connection:
-    """A TCP connection. Side 0 is who sent the first segment that the capture has of it, side 1 the other.
+    """A TCP connection. Side 0 sent the first segment of the connection in the capture; side 1 is its peer.
 
     Attributes:
-        number: Its number in the capture, from 1 on.
-        last_seen: ns of the capture's clock of its newest segment.
-        names: Address and port of each side, as text.
-        directions: What each side sent.
-        waiting: Segments that wait, as they came; emptied as they fit, by force, or at the end.
-        waiting_bytes: Memory that these take.
-        client_side: Who opened it; UNKNOWN if the SYN was not seen.
-        begins_in_capture: The SYN was seen.
-        end_reason: Why it is followed no longer; None while it is open.
-        recorded_side: "customer" or "node" where a recording of gatebank says which; else None.
-        packet: The number of the packet at hand.
-        decoder: Who decodes its bytes; None once it has ended.
+        number: Number of the connection in the capture, counted from 1.
+        last_seen: Time of the newest segment in ns of the capture's clock.
+        addresses: Address and port of each side, as text.
+        directions: State of the data that each side sent.
+        waiting: Waiting segments in the order of the capture. A segment leaves the list when its turn comes,
+            when its delivery is forced, or at the connection's end.
+        waiting_bytes: Memory in bytes that the waiting segments take.
+        client_side: The side that opened the connection; UNKNOWN if the SYN was not seen.
+        begins_in_capture: Whether the SYN was seen.
+        end_reason: Why the connection is no longer tracked; None while it is open.
+        recorded_side: "customer" or "node" if the capture is a recording of gatebank that names the side;
+            else None.
+        packet: Number of the packet that is being processed.
+        decoder: Decodes the connection's data; None after the connection's end.
     """
 
     __slots__ = (
@@ -195,34 +197,37 @@
         self._first_sender = (segment.source, segment.source_port)
 
     def side_of(self, segment: Segment) -> int:
-        """The side that sent this segment of the connection."""
+        """Return the side that sent this segment of the connection."""
         return 0 if self._first_sender == (segment.source, segment.source_port) else 1
 
     def missing_acknowledged_bytes(self, segment: WaitingSegment) -> int:
-        """How many bytes of the other direction it acknowledges that have not been delivered."""
+        """Return how many undelivered bytes of the other direction the segment acknowledges."""
         if segment.ack == UNKNOWN:
             return 0
         return self.directions[1 - segment.side].missing_bytes_before(segment.ack)
 
     def infer_initial_sequences(self, segment: WaitingSegment, has_bytes: bool) -> None:
-        """Learns from a segment where directions begin whose SYN was not seen.
+        """Infer from a segment where each direction whose SYN was not seen begins.
 
-        Only one in order tells it. One from further ahead, such as a copy that the capture has too early,
-        acknowledges bytes that are still to come, and says nothing of where these begin.
+        Only a segment in order shows the beginning. A segment from further ahead, such as a copy that the
+        capture holds too early, acknowledges bytes that still follow, and does not show where those bytes
+        begin.
 
         Args:
-            segment: What came, at its own time or from those that wait.
-            has_bytes: It has payload, or a FIN, so its number is that of bytes to deliver.
+            segment: The segment, either just read or taken from the waiting segments.
+            has_bytes: Whether the segment has payload or a FIN, so that its sequence number is that of bytes
+                to deliver.
         """
         direction = self.directions[segment.side]
         other = self.directions[1 - segment.side]
         if has_bytes and direction.next_sequence == UNKNOWN and not self.missing_acknowledged_bytes(segment):
             direction.next_sequence = segment.sequence
         if other.next_sequence == UNKNOWN and direction.next_sequence in (UNKNOWN, segment.sequence):
-            other.next_sequence = segment.ack  # the receiver has all before this: it is never sent again
+            # The receiver has all earlier bytes, so they are never retransmitted.
+            other.next_sequence = segment.ack
 
     def can_be_delivered(self, segment: WaitingSegment) -> bool:
-        """Whether nothing is missing any more that this segment waits for."""
+        """Return whether all bytes that the segment waits for have been delivered or skipped."""
         direction = self.directions[segment.side]
         if direction.next_sequence == UNKNOWN and self._has_earlier(segment):
             return False
@@ -231,24 +236,24 @@
         return not self.missing_acknowledged_bytes(segment)
 
     def _has_earlier(self, segment: WaitingSegment) -> bool:
-        """Whether another waiting segment of the same side begins before this one."""
+        """Return whether another waiting segment of the same side begins before this segment."""
         return any(
             other.side == segment.side and precedes(other.sequence, segment.sequence)
             for other in self.waiting
         )
 
     def awaits_lost_bytes(self, segment: WaitingSegment) -> bool:
-        """Whether what the segment waits for was received, and so is lacking in the capture."""
+        """Return whether the bytes that the segment waits for reached the receiver but not the capture."""
         direction = self.directions[segment.side]
         if direction.acked_sequence != UNKNOWN and direction.missing_bytes_before(direction.acked_sequence):
             return True
         return self.missing_acknowledged_bytes(segment) > 0
 
     def first_to_deliver_by_force(self) -> WaitingSegment:
-        """The segment to deliver first if the oldest that waits is to wait no longer.
+        """Return the segment to deliver first when the oldest waiting segment must not wait any longer.
 
-        What the oldest acknowledges, then what lies before it, goes first, where that waits too: segments are
-        delivered in the order in which they were sent.
+        Waiting segments that the oldest acknowledges are delivered first, then waiting segments with earlier
+        bytes of its direction, so that segments are delivered in the order in which they were sent.
         """
         chosen = self.waiting[0]
         for _ in range(len(self.waiting)):
@@ -261,7 +266,7 @@
         return chosen
 
     def _waits_before(self, side: int, end: int) -> WaitingSegment | None:
-        """The first segment that waits in this direction with bytes before the number ``end``."""
+        """Return the first waiting segment of ``side`` with undelivered bytes before the number ``end``."""
         if end == UNKNOWN:
             return None
         direction = self.directions[side]
@@ -273,5 +278,5 @@
 
 
 def precedes(sequence: int, other: int) -> bool:
-    """Whether a sequence number is before another one."""
+    """Return whether ``sequence`` is before ``other``, modulo 2^32."""
     return (sequence - other) & SEQUENCE_MASK >= HALF_SEQUENCE_SPACE
--- a/gatebank/capture/errors.py
+++ b/gatebank/capture/errors.py
@@ -1,4 +1,4 @@
-"""Errors of reading captures. Each has its facts as attributes; the text is made here."""
+"""Exceptions of reading and writing captures, with their details as attributes."""
 
 from __future__ import annotations
 
@@ -6,17 +6,16 @@
 
 
 class CaptureError(GatebankError):
-    """Base class of errors in captures and in what is asked of them."""
+    """Base class of errors in captures and in requests to read or write captures."""
 
 
 class CaptureFormatError(CaptureError):
-    """A capture file can't be read on from some point; what came before it stands.
+    """A capture file is unreadable from some offset on; everything read before that offset remains valid.
 
     Attributes:
-        reason: What is wrong, in the words that users see; also the text of the error.
-        offset: Where the block begins that could not be read, in bytes of the uncompressed file; None if that
-            is not known.
-        file: The file's name; empty where bytes were fed without one.
+        reason: The fault as shown to users; also the text of the exception.
+        offset: Offset of the unreadable block in bytes of the uncompressed file; None if unknown.
+        file: The file's name; empty if the data was fed without a name.
     """
 
     def __init__(self, reason: str, offset: int | None = None, file: str = "") -> None:
@@ -27,10 +26,10 @@
 
 
 class TimestampError(CaptureError, ValueError):
-    """A time that a user gave is in no known form.
+    """A time that a user entered is in no known format.
 
     Attributes:
-        value: The text that was given.
+        value: The text that the user entered.
     """
 
     def __init__(self, value: str) -> None:
@@ -39,7 +38,7 @@
 
 
 class IpVersionMismatchError(CaptureError, ValueError):
-    """The two ends of a conversation to be written have addresses of different IP versions."""
+    """The two addresses of a connection to be written are of different IP versions."""
 
     def __init__(self) -> None:
-        super().__init__("both ends of a conversation speak one version of IP")
+        super().__init__("both addresses of a connection must be of the same IP version")
--- a/gatebank/capture/filters.py
+++ b/gatebank/capture/filters.py
@@ -1,4 +1,4 @@
-"""Which exchanges of a capture are wanted. No I/O."""
+"""Selection of exchanges of a capture. No I/O."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeFilter:
-    """Chooses exchanges; what is None is not asked.
+    """Selects exchanges that meet all conditions; a condition of None is not checked.
 
     Attributes:
-        begin: ns of Unix time: asked then or later.
-        end: ns of Unix time: asked before.
-        request_class: One of these request classes.
-        tenant: One of these tenants.
-        key: One of these keys.
-        id: One of these ids.
-        ended: One of these outcomes.
-        side: One of these sides.
-        port: Either end has one of these ports.
+        begin: Earliest time of the command, in ns of Unix time. Where the command's time is unknown, the time
+            of the response is used.
+        end: Time in ns of Unix time before which the command must have been sent.
+        request_class: Accepted request classes.
+        tenant: Accepted tenants.
+        key: Accepted keys.
+        id: Accepted request ids.
+        ended: Accepted outcomes.
+        side: Accepted sides.
+        port: Accepted ports, of the client or the server.
 
     >>> exchange = Exchange(5, "127.0.0.1:9", "127.0.0.1:6379", "node", [b"Q.ASK", b"k"], True, 1, 1)
     >>> filters = ({}, {"begin": 5}, {"end": 5}, {"port": frozenset([9])})
-    >>> [ExchangeFilter(**each)(exchange) for each in filters]
+    >>> [ExchangeFilter(**conditions)(exchange) for conditions in filters]
     [True, True, False, True]
     >>> filters = ({"key": frozenset("k")}, {"key": frozenset("x")}, {"id": frozenset("x")})
-    >>> [ExchangeFilter(**each)(exchange) for each in filters]
+    >>> [ExchangeFilter(**conditions)(exchange) for conditions in filters]
     [True, False, False]
     """
 
@@ -44,12 +45,12 @@
     port: frozenset[int] | None = None
 
     def __call__(self, exchange: Exchange) -> bool:
-        """Whether the exchange is wanted."""
+        """Return whether the exchange meets all conditions."""
         return self._is_in_time(exchange) and self._has_port(exchange) and self._is_member(exchange)
 
     @property
     def accepts_all(self) -> bool:
-        """Whether every exchange is wanted."""
+        """Whether the filter has no condition and so selects every exchange."""
         return all(getattr(self, field.name) is None for field in fields(self))
 
     def _is_in_time(self, exchange: Exchange) -> bool:
@@ -68,7 +69,7 @@
 
     def _is_member(self, exchange: Exchange) -> bool:
         for name in MEMBERSHIP_FIELDS:
-            wanted = getattr(self, name)
-            if wanted is not None and getattr(exchange, name) not in wanted:
+            accepted = getattr(self, name)
+            if accepted is not None and getattr(exchange, name) not in accepted:
                 return False
         return True
--- a/gatebank/capture/ip_fragments.py
+++ b/gatebank/capture/ip_fragments.py
@@ -1,4 +1,4 @@
-"""Fragments of IP datagrams put together again, within limits. No I/O."""
+"""Reassembly of fragmented IP datagrams, within memory limits. No I/O."""
 
 from __future__ import annotations
 
@@ -8,27 +8,27 @@
 
 from gatebank.capture.limits import ReadingLimits
 
-# ns of the capture's clock that a datagram's fragments wait for the rest (RFC 791: longer than 15 s).
+# Time in ns of the capture's clock to wait for the remaining fragments of a datagram (RFC 791: over 15 s).
 FRAGMENT_TIMEOUT_NS = 30_000_000_000
 MAX_DATAGRAM_BYTES = 65535
-FRAGMENT_OVERHEAD = 64  # bytes that a held fragment takes besides its payload
+FRAGMENT_OVERHEAD = 64  # Bytes of memory that a held fragment takes in addition to its payload.
 
 
 class DatagramState(Enum):
-    """What is known of a datagram that came in fragments."""
+    """State of the reassembly of one datagram."""
 
     INCOMPLETE = auto()
     COMPLETE = auto()
-    INVALID = auto()  # its fragments contradict each other (RFC 5722)
+    INVALID = auto()  # Fragments overlap or contradict each other (RFC 5722).
 
 
 class Datagram:
     """The fragments of one datagram.
 
     Attributes:
-        since: ns of the capture's clock when its first fragment came.
-        held_bytes: Memory that it takes.
-        state: What is known of it.
+        first_seen_at: Time of the first captured fragment in ns of the capture's clock.
+        held_bytes: Memory in bytes that the fragments take.
+        state: State of the reassembly.
     """
 
     __slots__ = ("_fragments", "_size", "first_seen_at", "held_bytes", "state")
@@ -37,11 +37,11 @@
         self.first_seen_at = since
         self.held_bytes = 0
         self.state = DatagramState.INCOMPLETE
-        self._size = -1  # of the whole payload; known once the last fragment has come
-        self._fragments: dict[int, bytes] = {}  # by offset
+        self._size = -1  # Size of the whole payload in bytes; -1 until the last fragment has been seen.
+        self._fragments: dict[int, bytes] = {}  # Payloads by their offset.
 
     def add(self, offset: int, data: bytes, more: bool) -> None:
-        """Adds a fragment; ``more``: it is not the datagram's last."""
+        """Add a fragment; ``more`` is True unless the fragment is the datagram's last."""
         end = offset + len(data)
         if not self._end_is_possible(end, more):
             self.state = DatagramState.INVALID
@@ -49,7 +49,7 @@
         if not more:
             self._size = end
         if self._fragments.get(offset) == data:
-            return  # sent again
+            return  # A copy of a known fragment.
         for begin, fragment in self._fragments.items():
             if begin < end and offset < begin + len(fragment):
                 self.state = DatagramState.INVALID
@@ -60,7 +60,7 @@
             self.state = DatagramState.COMPLETE
 
     def payload(self) -> bytes:
-        """The payload of a complete datagram."""
+        """Return the payload of a complete datagram."""
         return b"".join(fragment for _, fragment in sorted(self._fragments.items()))
 
     def _end_is_possible(self, end: int, more: bool) -> bool:
@@ -72,12 +72,13 @@
 
 
 class FragmentReassembler:
-    """Holds fragments until their datagram is complete, the oldest datagram first to go.
+    """Holds fragments until their datagram is complete; drops the oldest datagrams to free memory.
 
     Attributes:
-        held_bytes: Memory that all fragments take.
-        fragment_count: Fragments that came.
-        given_up_count: Datagrams that were given up: contradictory, too old, or to make room.
+        held_bytes: Memory in bytes that all held fragments take.
+        fragment_count: Number of fragments seen.
+        given_up_count: Number of datagrams dropped because they were invalid, too old, or took too much
+            memory.
     """
 
     def __init__(self, limits: ReadingLimits) -> None:
@@ -85,20 +86,20 @@
         self.fragment_count = 0
         self.given_up_count = 0
         self._limits = limits
-        self._datagrams: OrderedDict[Hashable, Datagram] = OrderedDict()  # the oldest first
+        self._datagrams: OrderedDict[Hashable, Datagram] = OrderedDict()  # Oldest first.
 
     def add(self, key: Hashable, offset: int, data: bytes, more: bool, at: int) -> bytes | None:
-        """Adds a fragment.
+        """Add a fragment.
 
         Args:
-            key: What identifies the datagram: its addresses and its identification.
-            offset: Bytes of the datagram's payload before this fragment.
+            key: Identifies the datagram: its addresses and its identification field.
+            offset: Number of bytes of the datagram's payload before this fragment.
             data: The fragment's payload.
-            more: The fragment is not the datagram's last.
-            at: ns of the capture's clock.
+            more: Whether further fragments follow this fragment in the datagram.
+            at: Time of the fragment in ns of the capture's clock.
 
         Returns:
-            The datagram's payload once it is complete.
+            The datagram's payload if this fragment completes the datagram; else None.
         """
         self.fragment_count += 1
         self._make_room(at)
--- a/gatebank/capture/limits.py
+++ b/gatebank/capture/limits.py
@@ -1,29 +1,31 @@
-"""Limits on what reading a capture holds in memory and waits for."""
+"""Limits on the memory and the waiting times of reading a capture."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MIB = 1 << 20  # bytes
+MIB = 1 << 20  # Bytes in a mebibyte.
 
 
 @dataclass(slots=True, frozen=True)
 class ReadingLimits:
-    """Limits of one reading. Sizes are in bytes, times in seconds of the capture's own clock.
+    """Limits of reading one capture. Sizes are in bytes, times in seconds of the capture's clock.
 
     Attributes:
-        max_block_bytes: One block or packet of the file. The largest snap lengths in use are 256 KiB.
-        max_connections: Connections followed at once. Beyond it the least recently active is given up.
-        max_gap_bytes: Bytes of one connection that wait while bytes before them are missing; a TCP window.
-        max_total_gap_bytes: The same, of all connections together.
-        idle_timeout: A connection without packets for so long is given up.
-        response_grace: How long beyond its deadline a response is waited for.
-        max_message_bytes: One command or response. The protocol allows values of 64 KiB; larger ones occur.
-        max_total_message_bytes: All messages that are not complete yet, together.
-        max_fragment_bytes: Fragments of IP datagrams that are not complete yet, together.
-        max_pipelined_commands: Commands of one connection without their response.
-        max_clock_step: A packet that is so much later than all before it does not move the clock by which
-            connections become idle: its timestamp may be wrong.
+        max_block_bytes: Size of one block or packet of the file. The largest snap lengths in use are 256 KiB.
+        max_connections: Number of connections tracked at once. Beyond this number the least recently active
+            connection is given up.
+        max_gap_bytes: Bytes of one connection that wait for missing earlier bytes; the size of a TCP window.
+        max_total_gap_bytes: Bytes of all connections together that wait for missing earlier bytes.
+        idle_timeout: Time without packets after which a connection is given up.
+        response_grace: Time after a command's deadline during which its response is still awaited.
+        max_message_bytes: Size of one command or response. The protocol allows values of 64 KiB; larger
+            values occur.
+        max_total_message_bytes: Size of all incomplete messages together.
+        max_fragment_bytes: Size of all fragments of incomplete IP datagrams together.
+        max_pipelined_commands: Number of commands of one connection that have no response yet.
+        max_clock_step: A packet that is later than all earlier packets by this time or more does not advance
+            the clock by which connections become idle, since its timestamp may be wrong.
     """
 
     max_block_bytes: int = 16 * MIB
--- a/gatebank/capture/packet.py
+++ b/gatebank/capture/packet.py
@@ -1,4 +1,4 @@
-"""A packet as a capture file has it, and what a parser of a file format offers."""
+"""The packet type, and the interface of the parsers of capture file formats."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class Packet(NamedTuple):
-    """One captured packet. A named tuple because one is made for each of millions of packets.
+    """A captured packet. A named tuple is used because a capture holds millions of packets.
 
     Attributes:
-        at: ns of Unix time; 0 if the block has no time.
+        at: Time in ns of Unix time; 0 if the block has no timestamp.
         link: The link type by its number in the pcap registry.
-        data: The bytes that the capture kept.
-        length: The bytes that the packet had on the wire.
-        interface: The number of its interface in its section.
-        side: "customer" or "node" where a recording of gatebank says which; else None.
+        data: The captured bytes.
+        length: Size of the packet on the wire in bytes.
+        interface: Number of the packet's interface in its section.
+        side: "customer" or "node" if the file is a recording of gatebank that names the side; else None.
     """
 
     at: int
@@ -26,11 +26,11 @@
 
 
 class ParsedBlock(NamedTuple):
-    """A block of a capture file that was read.
+    """A block that was read from a capture file.
 
     Attributes:
-        end: Where the next block begins in the buffer.
-        packet: The packet that the block holds; None for blocks of other kinds.
+        end: Offset of the next block in the buffer.
+        packet: The block's packet; None for blocks without a packet.
     """
 
     end: int
@@ -42,13 +42,13 @@
 
     @property
     def is_inside_block(self) -> bool:
-        """Whether a block has begun whose bytes are not held in the buffer."""
+        """Whether parsing is within a block that is skipped without being held in the buffer."""
         ...
 
     def parse(self, data: bytearray, at: int) -> ParsedBlock | None:
-        """The block that begins at ``at``; None while it is not complete.
+        """Parse the block at offset ``at`` of the buffer; return None while the block is incomplete.
 
         Raises:
-            CaptureFormatError: What is at ``at`` is no block of this format.
+            CaptureFormatError: The bytes at ``at`` are not a valid block of this format.
         """
         ...
--- a/gatebank/capture/packets.py
+++ b/gatebank/capture/packets.py
@@ -1,8 +1,8 @@
-"""Capture files to packets: classic pcap and pcapng, plain or compressed by gzip or zstd. No I/O.
+"""Reading of packets from pcap and pcapng files, uncompressed or compressed with gzip or zstd. No I/O.
 
-Bytes are fed as they were read; complete packets come out in the order of the file. The framing is done here
-and not by dpkt, whose readers need a file to pull from, give times as floats (which lose 0.2 us on today's
-dates) and know only one pcapng interface.
+The reader is fed the file's bytes in pieces and yields complete packets in the order of the file. dpkt is not
+used to parse the files, because its readers need a file object, return times as floats (which lose 0.2 us on
+current dates) and support only one pcapng interface.
 """
 
 from __future__ import annotations
@@ -16,8 +16,10 @@
 from gatebank.capture.pcap import PCAP_VARIANTS, PcapFormat
 from gatebank.capture.pcapng import SECTION_MAGIC, PcapngFormat
 
-MAX_UNKNOWN_TYPES = 4096  # types of unknown blocks that are counted apart
-MIN_TRIM = 1024  # bytes: a buffer is copied to a smaller one once so much of it, and half, is used up
+MAX_UNKNOWN_TYPES = 4096  # Number of unknown block types that are counted separately.
+# A buffer is copied to a smaller buffer once at least this many bytes, and at least half of it, have been
+# parsed.
+MIN_TRIM = 1024
 TOO_SHORT_MESSAGE = "no capture file: it ends after its first bytes"
 
 
@@ -25,14 +27,15 @@
     """Reads one capture file that is fed in pieces.
 
     Attributes:
-        error: Why reading ended early; None while the file can be read. What came before it stands.
-        bytes_read: Bytes fed, as they are in the file.
-        packet_count: Packets read.
-        unknown_blocks: How many blocks of each unknown type were skipped, of MAX_UNKNOWN_TYPES types.
+        error: Why reading ended early; None while the file is readable. Packets read before the error are
+            valid.
+        bytes_read: Number of bytes fed, before decompression.
+        packet_count: Number of packets read.
+        unknown_blocks: Number of skipped blocks by their type, for at most MAX_UNKNOWN_TYPES unknown types.
 
     Args:
-        limits: The limits of this reading.
-        file: The file's name, for errors.
+        limits: Limits of the reading; the defaults if None.
+        file: The file's name, used in errors.
     """
 
     def __init__(self, limits: ReadingLimits | None = None, file: str = "") -> None:
@@ -42,25 +45,25 @@
         self.unknown_blocks: dict[int, int] = {}
         self._limits = limits or ReadingLimits()
         self._file = file
-        self._first_bytes = b""  # until there are enough to tell the compression
+        self._first_bytes = b""  # Bytes fed before the compression could be detected.
         self._decompressor: Decompressor | None = None
         self._format: FileFormat | None = None
         self._buffer = bytearray()
-        self._buffer_offset = 0  # of the buffer's first byte in the uncompressed file
+        self._buffer_offset = 0  # Offset of the buffer's first byte in the uncompressed file.
 
     @property
     def buffered_bytes(self) -> int:
-        """Uncompressed bytes that wait for the rest of their block."""
+        """Number of uncompressed bytes that wait for the rest of their block."""
         return len(self._buffer)
 
     def continue_counts(self, previous: PacketReader) -> None:
-        """Counts on from what was read of the capture's previous file."""
+        """Continue the counters of the reader of the capture's previous file."""
         self.bytes_read = previous.bytes_read
         self.packet_count = previous.packet_count
         self.unknown_blocks = previous.unknown_blocks
 
     def feed(self, data: bytes) -> Iterator[Packet]:
-        """The packets that are complete with ``data``. An error in the file ends them and sets `error`."""
+        """Yield the packets that ``data`` completes. An error in the file stops reading and sets `error`."""
         self.bytes_read += len(data)
         if self.error is not None:
             return
@@ -78,7 +81,7 @@
             self._fail(error)
 
     def end(self) -> None:
-        """Tells that the file has ended; sets `error` if it ended too early."""
+        """Report the end of the file; sets `error` if the file is incomplete."""
         if self.error is not None:
             return
         try:
@@ -121,7 +124,7 @@
             self._trim(at)
 
     def _trim(self, used: int) -> None:
-        """Drops the first ``used`` bytes of the buffer, in the way that is cheapest for their number."""
+        """Remove the first ``used`` bytes of the buffer, in the cheapest way for their number."""
         size = len(self._buffer)
         if used >= size:
             self._buffer = bytearray()
--- a/gatebank/capture/pairing.py
+++ b/gatebank/capture/pairing.py
@@ -1,15 +1,16 @@
-"""Pairs the commands of one connection with their responses, by order: responses carry no id. No I/O.
-
-After a gap nothing is guessed. What was pending is reported as not whole, and pairing starts again at a
-command behind which no older response can be due. The first pairs made so are on probation: they are held
-until the next command, or the connection's end, shows that no response was left over.
-
-    IN_SYNC                   a gap, or an unreadable command                -> OUT_OF_SYNC
-    OUT_OF_SYNC               a command, and no older response can be due    -> ON_PROBATION
-    ON_PROBATION              a command, and no response was left over       -> IN_SYNC
-    ON_PROBATION              a response too many, a gap on one side only    -> OUT_OF_SYNC
-    ON_PROBATION              a gap while nothing is pending                 -> OUT_OF_SYNC_ON_PROBATION
-    OUT_OF_SYNC_ON_PROBATION  a command, or a response too many              -> OUT_OF_SYNC
+"""Pairing of one connection's commands with their responses by order, since responses carry no id. No I/O.
+
+After a gap, commands and responses are not paired by guessing. Pending commands are reported as not whole,
+and pairing restarts at a command for which no response to an earlier command can still arrive. The first
+pairs after a restart are on probation: they are held until the next command or the connection's end shows
+that no surplus response exists.
+
+    IN_SYNC                   gap, or unreadable command                        -> OUT_OF_SYNC
+    OUT_OF_SYNC               command while no older response can be due        -> ON_PROBATION
+    ON_PROBATION              command, without a surplus response before        -> IN_SYNC
+    ON_PROBATION              surplus response, or gap in one direction only    -> OUT_OF_SYNC
+    ON_PROBATION              gap while no command is pending                   -> OUT_OF_SYNC_ON_PROBATION
+    OUT_OF_SYNC_ON_PROBATION  command, or surplus response                      -> OUT_OF_SYNC
 """
 
 from __future__ import annotations
@@ -22,18 +23,20 @@
 from gatebank.capture.transactions import DEFAULT_TIMEOUT_NS, ExchangeCollector, timeout_ns
 from gatebank.proxy.resp2 import codec as resp
 
-# ns behind its deadline in which a response still comes: delays, and differences between clocks.
+# Time in ns after a command's deadline during which its response can still arrive, because of network delays
+# and differences between clocks.
 RESPONSE_SLACK_NS = 2_000_000_000
-# Pairs held on probation: as many commands as an instance lets a client have in flight.
+# Largest number of pairs held on probation: the number of commands that an instance lets a client have in
+# flight.
 MAX_HELD_PAIRS = 64
 
 
 class PairingState(Enum):
-    """Whether the order of responses tells which command each belongs to.
+    """Whether the order of the responses shows which command each response belongs to.
 
     Attributes:
-        is_in_sync: Commands are paired with responses by order.
-        is_on_probation: There may be pairs that are held until no response is left over.
+        is_in_sync: Whether commands are paired with responses by order.
+        is_on_probation: Whether pairs may be held until it is known that no surplus response exists.
     """
 
     def __init__(self, is_in_sync: bool, is_on_probation: bool) -> None:
@@ -42,7 +45,7 @@
 
     IN_SYNC = (True, False)
     ON_PROBATION = (True, True)
-    OUT_OF_SYNC = (False, False)  # behind those to pending commands, responses to unseen ones may come
+    OUT_OF_SYNC = (False, False)  # Responses to unseen commands may follow those to pending commands.
     OUT_OF_SYNC_ON_PROBATION = (False, True)
 
 
@@ -50,12 +53,12 @@
     """The pending commands of a connection, and the state of pairing.
 
     Args:
-        collector: Where exchanges are reported.
-        begins_in_capture: The connection's first bytes are in the capture.
+        collector: Receives the exchanges.
+        begins_in_capture: Whether the connection's first bytes are in the capture.
 
     Attributes:
-        state: Whether the order of responses can be trusted.
-        server: Address and port of who is asked.
+        state: Whether commands and responses can be paired by order.
+        server: Address and port of the side that receives the commands.
     """
 
     __slots__ = (
@@ -67,25 +70,27 @@
         self.state = PairingState.IN_SYNC if begins_in_capture else PairingState.OUT_OF_SYNC
         self.server = ""
         self._collector = collector
-        self._pending: deque[Exchange | None] = deque()  # None: a command that is no request
-        self._is_pipelined = False  # the client was seen to send a command before it had the last response
-        self._stale_until = 0  # ns: until then responses to older commands may come, if it is pipelined
-        self._gap_in_commands = False  # since pairing started again
+        self._pending: deque[Exchange | None] = deque()  # None stands for a command that is not a request.
+        # Whether the client has sent a command before it had the response to the previous command.
+        self._is_pipelined = False
+        # Time in ns until which responses to older commands may arrive at a pipelining client.
+        self._stale_until = 0
+        self._gap_in_commands = False  # Both gap flags cover the time since pairing restarted.
         self._gap_in_responses = False
-        self._held: list[PairedResponse] = []  # on probation
+        self._held: list[PairedResponse] = []  # Pairs on probation.
 
     @property
     def pending_count(self) -> int:
-        """Commands without their response."""
+        """Number of commands that have no response yet."""
         return len(self._pending)
 
     # Commands.
 
     def before_command(self, at: int) -> bool:
-        """Settles what the next command settles, and starts pairing again if nothing older can be due.
+        """Prepare for a command: end the probation, and restart pairing if no older response can be due.
 
         Returns:
-            Whether pairing has started again: bytes of an older response are of no use any more.
+            Whether pairing has restarted, so that held bytes of an older response must be discarded.
         """
         if self._pending:
             self._is_pipelined = True
@@ -100,12 +105,12 @@
         return True
 
     def add_other_command(self) -> None:
-        """A command that is no request: its response takes a place in the order."""
+        """Add a command that is not a request; its response counts in the order of responses."""
         if self.state.is_in_sync:
             self._pending.append(None)
 
     def add_request(self, exchange: Exchange, at: int) -> None:
-        """A request; it is reported at once if its response could not be told from others."""
+        """Add a request; report it at once while out of sync, as its response cannot be identified."""
         if not self.state.is_in_sync:
             self._expect_stale(at, exchange)
             self._collector.report(exchange)
@@ -116,10 +121,10 @@
     # Responses.
 
     def add_response(self, reply: resp.Reply, at: int, packet: int) -> None:
-        """The next response, as of packet number ``packet``."""
+        """Add the next response, which ended in packet number ``packet``."""
         if not self._pending:
             self._count_unexpected()
-            if self.state.is_on_probation:  # a held one belonged to an older command, then
+            if self.state.is_on_probation:  # One of the held responses must belong to an older command.
                 self._reject_held()
             return
         exchange = self._pending.popleft()
@@ -128,7 +133,7 @@
         if not self.state.is_on_probation or exchange.is_reported:
             self._complete(PairedResponse(exchange, reply, at, packet))
             return
-        values = [word if word is None else memoryview(bytes(word)) for word in reply.values]
+        values = [value if value is None else memoryview(bytes(value)) for value in reply.values]
         self._held.append(PairedResponse(exchange, resp.Reply(reply.type_byte, values), at, packet))
         if len(self._held) > MAX_HELD_PAIRS:
             self._reject_held()
@@ -145,14 +150,15 @@
         if side is not None:
             self._collector.record_server_side(self.server, side)
         if exchange.is_reported:
-            self._collector.counts.answers_not_paired += 1  # it came after it was given up
+            # The exchange had been given up before its response arrived.
+            self._collector.counts.answers_not_paired += 1
         else:
             self._collector.report(exchange)
 
     # Gaps.
 
     def on_command_gap(self, at: int) -> None:
-        """Bytes of commands are missing: a command in them is answered behind those that are pending."""
+        """Handle missing command bytes: responses to lost commands may follow those to pending commands."""
         self._gap_in_commands = True
         if self.state.is_on_probation and self._pending:
             self._reject_held(is_pipelined=False)
@@ -160,19 +166,19 @@
         self._stale_until = max(self._stale_until, at + DEFAULT_TIMEOUT_NS)
 
     def on_unreadable_command(self, at: int) -> None:
-        """How a command is answered is not known: nothing behind it is paired by order alone."""
+        """Handle an unreadable command: its response is unknown, so order no longer pairs later commands."""
         if self.state.is_on_probation:
             self._reject_held()
         self._leave_sync()
         self._stale_until = max(self._stale_until, at + DEFAULT_TIMEOUT_NS)
 
     def on_response_gap(self, at: int) -> None:
-        """Bytes of responses are missing: which commands they answered is not known."""
+        """Handle missing bytes of responses, whose commands are unknown."""
         self._gap_in_responses = True
         self.report_pending_incomplete(at)
 
     def report_pending_incomplete(self, at: int) -> None:
-        """Reports what is pending as not whole; order alone pairs nothing any more."""
+        """Report all pending exchanges as not whole, and stop pairing by order."""
         if self.state.is_on_probation and self._pending:
             self._reject_held(is_pipelined=False)
         self._leave_sync()
@@ -191,17 +197,17 @@
             self.state = PairingState.OUT_OF_SYNC
 
     def _expect_stale(self, at: int, exchange: Exchange) -> None:
-        """A response to this exchange may come until its deadline has passed, and goes to no other."""
+        """Extend the time in which a late response to this exchange may arrive, until after its deadline."""
         asked_at = exchange.asked_at or at
         self._stale_until = max(self._stale_until, asked_at + timeout_ns(exchange) + RESPONSE_SLACK_NS)
 
     # Probation.
 
     def _settle(self) -> None:
-        """Ends the probation where nothing is pending and no response was left over.
+        """End the probation when no command is pending and no surplus response has been seen.
 
-        Where bytes are missing in one direction only, the response that was left over may be among them; in
-        both, complete exchanges are missing.
+        If bytes are missing in one direction only, a surplus response may be among the missing bytes, so the
+        held pairs are rejected. If bytes are missing in both directions, whole exchanges are missing.
         """
         if self._gap_in_commands != self._gap_in_responses:
             self._reject_held(is_pipelined=False)
@@ -209,7 +215,7 @@
             self._accept_held()
 
     def _accept_held(self) -> None:
-        """The client had as many responses as it had asked for, and asks on: the held pairs are right."""
+        """Report the held pairs: the client got one response per command, so the pairs are right."""
         self.state = PairingState.IN_SYNC if self.state.is_in_sync else PairingState.OUT_OF_SYNC
         held = self._held
         self._held = []
@@ -217,10 +223,11 @@
             self._complete(paired)
 
     def _reject_held(self, is_pipelined: bool = True) -> None:
-        """Which held response was whose is not known: reported as not whole, and pairing starts again later.
+        """Report the held exchanges as not whole, since their responses are uncertain, and leave sync.
 
         Args:
-            is_pipelined: What happened shows that the client sends commands before it has its responses.
+            is_pipelined: Whether the rejection shows that the client sends commands before it has all
+                responses.
         """
         self.state = PairingState.OUT_OF_SYNC
         held = self._held
@@ -231,19 +238,20 @@
         if is_pipelined:
             self._is_pipelined = True
 
-    # The end.
+    # End of the connection.
 
     def on_end(self, at: int, is_seen_on_wire: bool, has_partial_response: bool) -> None:
-        """Reports all that is left.
+        """Report all remaining exchanges at the connection's end.
 
         Args:
-            at: ns of the capture's clock.
-            is_seen_on_wire: The capture shows the connection's end, so what is pending has no response.
-            has_partial_response: A response had begun.
+            at: Time of the end in ns of the capture's clock.
+            is_seen_on_wire: Whether the capture shows the connection's end, so that pending commands have no
+                response.
+            has_partial_response: Whether the capture holds a part of the next response.
         """
         if self.state.is_on_probation:
             last = max((paired.at for paired in self._held), default=at)
-            # A response that was left over would have come by now.
+            # A surplus response would have arrived by now.
             is_quiet = is_seen_on_wire or at - last >= RESPONSE_SLACK_NS
             if is_quiet and not self._pending:
                 self._settle()
--- a/gatebank/capture/pcap.py
+++ b/gatebank/capture/pcap.py
@@ -1,4 +1,4 @@
-"""The classic pcap file format (draft-ietf-opsawg-pcap): a file header, then packets. No I/O."""
+"""Parser of the classic pcap file format (draft-ietf-opsawg-pcap): a file header, then packets. No I/O."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from gatebank.capture.packet import Packet, ParsedBlock
 
 FILE_HEADER_BYTES = 24
-LINK_TYPE_OFFSET = 20  # bytes into the file header
-LINK_TYPE_MASK = 0xFFFF  # the upper half of the field holds flags
+LINK_TYPE_OFFSET = 20  # Offset of the link type in the file header, in bytes.
+LINK_TYPE_MASK = 0xFFFF  # The upper half of the link type field holds flags.
 PACKET_HEADER_BYTES = 16
 NS_PER_SECOND = 1_000_000_000
 
 
 class PcapVariant(NamedTuple):
-    """What the first four bytes of a file say about its numbers.
+    """Encoding of a file's numbers, as its first four bytes show it.
 
     Attributes:
-        byte_order: As `struct` writes it.
-        ns_per_unit: ns of one unit of a timestamp's second field.
+        byte_order: The byte order in the notation of `struct`.
+        ns_per_unit: Number of ns in one unit of a timestamp's second field.
     """
 
     byte_order: str
@@ -37,20 +37,20 @@
 
 
 class PcapFormat:
-    """Parses a classic pcap file from its file header on.
+    """Parses a classic pcap file, starting with the file header.
 
     Args:
-        limits: The limits of this reading.
+        limits: Limits of the reading.
         magic: The first four bytes of the file, a key of PCAP_VARIANTS.
     """
 
-    is_inside_block = False  # each packet waits in the buffer until it is complete
+    is_inside_block = False  # Incomplete packets always stay in the buffer.
 
     def __init__(self, limits: ReadingLimits, magic: bytes) -> None:
         self._limits = limits
         self._variant = PCAP_VARIANTS[magic]
         self._packet_header = struct.Struct(self._variant.byte_order + "IIII")
-        self._link = -1  # until the file header has been read
+        self._link = -1  # The link type; -1 until the file header has been read.
 
     def parse(self, data: bytearray, at: int) -> ParsedBlock | None:
         """See `FileFormat.parse`."""
--- a/gatebank/capture/pcapng.py
+++ b/gatebank/capture/pcapng.py
@@ -1,6 +1,6 @@
-"""The pcapng file format (draft-ietf-opsawg-pcapng): sections of blocks. No I/O.
+"""Parser of the pcapng file format (draft-ietf-opsawg-pcapng): sections that consist of blocks. No I/O.
 
-Sections may be in either byte order and have several interfaces; blocks of unknown types are skipped.
+Sections may use either byte order and have several interfaces. Blocks of unknown types are skipped.
 """
 
 from __future__ import annotations
@@ -14,27 +14,27 @@
 from gatebank.capture.limits import ReadingLimits
 from gatebank.capture.packet import Packet, ParsedBlock
 
-SECTION_MAGIC = b"\x0a\x0d\x0d\x0a"  # the type of a section header, the same in both byte orders
-BYTE_ORDERS = {b"\x1a\x2b\x3c\x4d": ">", b"\x4d\x3c\x2b\x1a": "<"}  # of a section, by its byte order mark
+SECTION_MAGIC = b"\x0a\x0d\x0d\x0a"  # Type of a section header, the same in both byte orders.
+BYTE_ORDERS = {b"\x1a\x2b\x3c\x4d": ">", b"\x4d\x3c\x2b\x1a": "<"}  # Byte order by byte order mark.
 KNOWN_MAJOR_VERSION = 1
-MIN_BLOCK_BYTES = 12  # type, length, and the length once more
-BLOCK_HEADER_BYTES = 8  # type and length
-BLOCK_TRAILER_BYTES = 4  # the length once more
-ENHANCED_PACKET_HEADER_BYTES = (
-    20  # of a block's body, before the packet's bytes; obsolete packets have it too
-)
+MIN_BLOCK_BYTES = 12  # Type, length, and the length repeated.
+BLOCK_HEADER_BYTES = 8  # Type and length.
+BLOCK_TRAILER_BYTES = 4  # The length repeated.
+# Fields before the packet's bytes in the body of an enhanced packet block, and of an obsolete packet block.
+ENHANCED_PACKET_HEADER_BYTES = 20
 SIMPLE_PACKET_HEADER_BYTES = 4
-INTERFACE_FIELDS_BYTES = 8  # of an interface description, before its options
-SECTION_FIELDS_BYTES = 16  # of a section header's body, before its options
-MAX_INTERFACES = 4096  # of a section: each takes memory for as long as the section lasts
+INTERFACE_FIELDS_BYTES = 8  # Fields of an interface description before its options.
+SECTION_FIELDS_BYTES = 16  # Fields of a section header's body before its options.
+MAX_INTERFACES = 4096  # Interfaces per section; each takes memory until the section ends.
 NS_PER_SECOND = 10**9
-DEFAULT_RESOLUTION = b"\x06"  # microseconds
-BINARY_RESOLUTION = 0x80  # flag of a resolution that is a power of 2, not of 10
-RECORDED_SIDES = {b"customers": "customer", b"nodes": "node"}  # by the names that recordings give interfaces
+DEFAULT_RESOLUTION = b"\x06"  # Microseconds.
+BINARY_RESOLUTION = 0x80  # Flag of a resolution that is a power of 2 rather than of 10.
+# Sides by interface name in recordings of gatebank.
+RECORDED_SIDES = {b"customers": "customer", b"nodes": "node"}
 
 
 class BlockType(IntEnum):
-    """Blocks that this reader knows."""
+    """Block types that the parser supports."""
 
     INTERFACE = 1
     OBSOLETE_PACKET = 2
@@ -43,7 +43,7 @@
     SECTION = 0x0A0D0D0A
 
 
-# As plain integers: a comparison with a member of an enumeration costs more, for each packet.
+# Plain integers, because comparing each packet's block type with an enumeration member is slower.
 INTERFACE = int(BlockType.INTERFACE)
 OBSOLETE_PACKET = int(BlockType.OBSOLETE_PACKET)
 SIMPLE_PACKET = int(BlockType.SIMPLE_PACKET)
@@ -53,7 +53,7 @@
 
 
 class OptionCode(IntEnum):
-    """Options that this reader knows; a code means different things in different blocks."""
+    """Option codes that the parser supports; the meaning of a code depends on the block type."""
 
     INTERFACE_NAME = 2
     SECTION_PROGRAM = 4
@@ -62,15 +62,15 @@
 
 
 class Interface(NamedTuple):
-    """An interface of a section. A packet's ns are its units * numerator // denominator + offset.
+    """An interface of a section. A packet's time in ns is its units * numerator // denominator + offset.
 
     Attributes:
         link: The link type by its number in the pcap registry.
-        numerator: ns in a second.
-        denominator: Units in a second.
-        offset: ns added to all timestamps.
-        snap_length: Bytes kept of each packet; 0 for no limit.
-        side: "customer" or "node" where the file is a recording of gatebank; else None.
+        numerator: Number of ns in a second.
+        denominator: Number of timestamp units in a second.
+        offset: Time in ns that is added to all timestamps.
+        snap_length: Largest number of bytes kept of each packet; 0 for no limit.
+        side: "customer" or "node" if the file is a recording of gatebank; else None.
     """
 
     link: int
@@ -92,7 +92,7 @@
     """Parses a pcapng file.
 
     Args:
-        limits: The limits of this reading.
+        limits: Limits of the reading.
         on_unknown_block: Called with the type of each block that is skipped because its type is unknown.
     """
 
@@ -100,9 +100,9 @@
         self._limits = limits
         self._on_unknown_block = on_unknown_block
         self._set_byte_order("<")
-        self._is_recording = False  # the section was written by gatebank
-        self._interfaces: list[Interface] = []  # of this section; emptied by the next
-        self._bytes_to_skip = 0  # of a block that is skipped without being held
+        self._is_recording = False  # Whether gatebank wrote the section.
+        self._interfaces: list[Interface] = []  # Interfaces of the current section.
+        self._bytes_to_skip = 0  # Remaining bytes of a block that is skipped without being held.
 
     @property
     def is_inside_block(self) -> bool:
@@ -149,7 +149,7 @@
         return ParsedBlock(at + size, None) if size else None
 
     def _incomplete_block(self, block_type: int, size: int, data: bytearray, at: int) -> ParsedBlock | None:
-        """A block whose end is not here: it is waited for, or skipped if it is too large to be held."""
+        """Wait for the rest of an incomplete block; skip it if its type is unknown and its size too large."""
         if size <= self._limits.max_block_bytes:
             return None
         if block_type in KNOWN_BLOCK_TYPES:
@@ -181,7 +181,7 @@
     def _begin_section(self, body: memoryview) -> None:
         [major_version] = struct.unpack_from(self._byte_order + "H", body, 4)
         if major_version != KNOWN_MAJOR_VERSION:
-            raise CaptureFormatError(f"a section of version {major_version}, where 1 is known")
+            raise CaptureFormatError(f"a section of version {major_version}; only version 1 is supported")
         self._interfaces.clear()
         self._is_recording = any(
             option.code == OptionCode.SECTION_PROGRAM and option.value.startswith(b"gatebank")
@@ -198,7 +198,7 @@
         return Packet(0, interface.link, data, max(length, size), 0, interface.side)
 
     def _timed_packet(self, number: int, units: int, body: memoryview, size: int, length: int) -> Packet:
-        """A packet of interface ``number``, at ``units`` of the interface's time."""
+        """Return the packet of interface ``number`` at time ``units``, in the interface's resolution."""
         if number >= len(self._interfaces):
             raise CaptureFormatError(f"a packet of interface {number}, which is not described")
         interface = self._interfaces[number]
@@ -223,7 +223,7 @@
         self._interfaces.append(Interface(link, NS_PER_SECOND, units_per_second, offset, snap_length, side))
 
     def _options(self, body: memoryview, at: int) -> Iterator[Option]:
-        """The options from ``at`` on, up to their end mark or to one that does not fit the block."""
+        """Yield the options from offset ``at`` on, up to the end mark or an option that exceeds the block."""
         while at + 4 <= len(body):
             code, size = struct.unpack_from(self._byte_order + "HH", body, at)
             if not code or at + 4 + size > len(body):
--- a/gatebank/capture/reading.py
+++ b/gatebank/capture/reading.py
@@ -1,4 +1,4 @@
-"""A capture from bytes to exchanges: all layers in a row, with one table of counts. No I/O."""
+"""The whole chain of reading a capture, from bytes to exchanges, with counters of all layers. No I/O."""
 
 from __future__ import annotations
 
@@ -15,27 +15,28 @@
 from gatebank.capture.segments import Segment, SegmentDecoder
 from gatebank.capture.transactions import DecoderFactory, ExchangeCollector
 
-# Counts that say something could not be read or was given up: these, and all with GIVEN_UP in their name.
+# Counters of data that could not be read or was given up: the listed names, and all names that contain
+# GIVEN_UP_MARKER.
 PROBLEM_COUNTS = ("unreadable", "holes", "not_whole", "packets_cut", "answers_not_paired", "spoilt")
 GIVEN_UP_MARKER = "given_up"
 
 
 class CaptureReader:
-    """Reads one capture. Feed it bytes and take exchanges; `end` gives the last of them.
+    """Reads one capture: `feed` takes bytes and yields exchanges, `end` yields the remaining exchanges.
 
     Args:
-        limits: The limits of this reading.
-        make_decoder: Makes the decoder of a connection; RESP2 if None.
-        endpoints: Server addresses that the user knows to be endpoints.
-        instances: Server addresses that the user knows to be instances.
+        limits: Limits of the reading; the defaults if None.
+        make_decoder: Creates the decoder of a connection; RESP2 decoders if None.
+        endpoints: Server addresses that the user declared to be endpoints.
+        instances: Server addresses that the user declared to be instances.
 
     Attributes:
-        packets: The reader of the file at hand; `next_file` replaces it.
+        packets: The reader of the current file; `start_next_file` replaces it.
         exchanges: The collector of exchanges.
         connections: The TCP reassembly.
-        segment: The segment of the packet at hand; None if it has none.
-        first_at: ns of Unix time of the first packet that has a time; 0 before.
-        last_at: ns of Unix time, the newest of all packets; 0 before.
+        segment: The segment of the current packet; None if the packet has none.
+        first_at: Time in ns of Unix time of the first packet with a timestamp; 0 before that packet.
+        last_at: Latest time of all packets in ns of Unix time; 0 before the first timestamp.
     """
 
     def __init__(
@@ -53,11 +54,11 @@
         self.first_at = 0
         self.last_at = 0
         self._segments = SegmentDecoder(self.limits)
-        self._backwards_count = 0  # packets older than the newest before them
-        self._cut_count = 0  # packets that the snap length cut
+        self._backwards_count = 0  # Packets with an earlier time than a preceding packet.
+        self._cut_count = 0  # Packets that the snap length cut.
 
     def feed(self, data: bytes) -> Iterator[Exchange]:
-        """The exchanges whose outcome is known with these bytes of the file."""
+        """Process bytes of the file, and yield the exchanges whose outcome becomes known."""
         reported = self.exchanges.reported
         for packet in self.packets.feed(data):
             self.add_packet(packet)
@@ -65,10 +66,10 @@
                 yield reported.popleft()
 
     def add_packet(self, packet: Packet) -> Connection | None:
-        """Takes in one packet; exchanges are left in `exchanges.reported`.
+        """Process one packet; reported exchanges are left in `exchanges.reported`.
 
         Returns:
-            The connection that it belongs to; None if it belongs to none that is followed.
+            The packet's connection; None if the packet belongs to no tracked connection.
         """
         at, link, data, length, _, side = packet
         if at < self.last_at:
@@ -84,13 +85,13 @@
         return self.connections.add(self.segment, at, self.packets.packet_count, side)
 
     def start_next_file(self) -> None:
-        """The capture goes on in another file: its packets are counted on from those of the last one."""
-        following = PacketReader(self.limits)
-        following.continue_counts(self.packets)
-        self.packets = following
+        """Continue the capture in another file; the counters of the previous file are continued."""
+        next_packets = PacketReader(self.limits)
+        next_packets.continue_counts(self.packets)
+        self.packets = next_packets
 
     def end(self) -> Iterator[Exchange]:
-        """Tells that the capture has ended; the exchanges that are left."""
+        """Report the end of the capture, and yield the remaining exchanges."""
         self.packets.end()
         self.connections.end()
         self.exchanges.end()
@@ -98,7 +99,7 @@
             yield self.exchanges.reported.popleft()
 
     def counts(self) -> dict[str, int | str]:
-        """What was read, and what was not, by the names that `capture check` prints; zeros too."""
+        """Return all counters, including zeros, by the names that `capture check` prints."""
         counts: dict[str, int | str] = {
             "bytes": self.packets.bytes_read,
             "packets": self.packets.packet_count,
@@ -108,14 +109,14 @@
         }
         counts |= self._segments.counts()
         counts |= asdict(self.connections.counts)
-        # Both layers before and this one count what they could not read under one name; this one's stands.
+        # The segment decoder and the collector both count `unreadable`; the collector's value is returned.
         counts |= asdict(self.exchanges.counts)
         if self.packets.error is not None:
             counts["spoilt"] = self.packets.error.reason
         return counts
 
     def problem_counts(self) -> dict[str, int | str]:
-        """Of the counts, those that are not 0 and say that something could not be read or was given up."""
+        """Return the non-zero counters of data that could not be read or was given up."""
         return {
             name: value
             for name, value in self.counts().items()
--- a/gatebank/capture/reassembly.py
+++ b/gatebank/capture/reassembly.py
@@ -1,12 +1,14 @@
-"""TCP reassembly: segments in; the bytes of each direction out, in order, with the gaps in them. No I/O.
+"""TCP reassembly: turns segments into the ordered bytes of each direction, and reports gaps. No I/O.
 
-What was sent again is dropped, what comes early waits, sequence numbers wrap (RFC 9293). Order holds across
-both directions too: a segment that acknowledges bytes which are not here yet was sent after them, so it waits
-for them. Otherwise two packets that a capture swapped would give a response to the wrong command.
+Retransmitted bytes are dropped, early segments wait, and sequence numbers wrap (RFC 9293). Order is kept
+across both directions too: a segment that acknowledges bytes that have not been read yet was sent after those
+bytes, so it waits for them. Otherwise two packets that a capture swapped could pair a response with the wrong
+command.
 
-A gap is reported once it is certain: the receiver acknowledged bytes that the capture lacks and that did not
-come within MAX_LATENESS_NS, a limit on what may wait is reached, the packet was cut by the snap length, or
-the connection is over. What the receiver did not acknowledge may still be sent again, and is waited for.
+A gap is reported once it is certain: the receiver acknowledged bytes that did not appear in the capture
+within MAX_LATENESS_NS, a limit on waiting bytes is reached, the snap length cut the packet, or the connection
+has ended. Bytes that the receiver has not acknowledged may still be retransmitted, so the reassembly waits
+for them.
 """
 
 from __future__ import annotations
@@ -29,69 +31,72 @@
 from gatebank.capture.segments import ACK, FIN, RST, SYN, Segment
 
 NS_PER_SECOND = 1e9
-# ns of the capture's clock that an acknowledged byte may come late: the disorder between two taps.
+# Time in ns of the capture's clock by which an acknowledged byte may appear late, because packets of two taps
+# are merged out of order.
 MAX_LATENESS_NS = 200_000_000
-# ns that an ended connection is remembered, so that late copies of its packets open no new one.
+# Time in ns for which an ended connection is remembered, so that late copies of its packets do not open a new
+# connection.
 ENDED_CONNECTION_RETENTION_NS = 60_000_000_000
-# Bytes: a segment further ahead than the largest usual windows belongs to another connection.
+# A segment that is further ahead, in bytes, than the largest usual windows belongs to another connection.
 MAX_AHEAD_BYTES = 1 << 24
 
 
-# The addresses and ports of a connection, the lower end first, so that both directions have the same. A plain
-# tuple: one is made for each packet, and a named one takes three times as long.
+# The addresses and ports of a connection, with the lower address and port first, so that both directions have
+# the same key. It is a plain tuple because it is created for each packet, and creating a named tuple takes
+# three times as long.
 ConnectionKey = tuple[int | bytes, int, int | bytes, int]
 
 
 class ConnectionListener(Protocol):
-    """Hears of connections and their bytes.
+    """Receives the connections and their data.
 
-    Times are ns of the capture's clock; ``side`` is who sent, as in `Connection`.
+    Times are in ns of the capture's clock; ``side`` is the sending side, as in `Connection`.
     """
 
     def on_open(self, connection: Connection, at: int) -> None:
-        """A connection is followed from here on."""
+        """Process the start of tracking a connection."""
         ...
 
     def on_data(self, connection: Connection, side: int, at: int, data: bytes) -> None:
-        """The next bytes of one direction."""
+        """Process the next bytes of one direction."""
         ...
 
     def on_gap(self, connection: Connection, side: int, at: int, size: int) -> None:
-        """The next ``size`` bytes of one direction are not in the capture."""
+        """Process a gap: the next ``size`` bytes of one direction are not in the capture."""
         ...
 
     def on_end(self, connection: Connection, at: int, reason: EndReason) -> None:
-        """Nothing more comes of this connection."""
+        """Process the end of the connection, after which no data follows."""
         ...
 
 
 @dataclass(slots=True)
 class ReassemblyCounts:
-    """Counters of one reading, by the names that `capture check` prints."""
+    """Counters of the reassembly, by the names that `capture check` prints."""
 
     streams: int = 0
-    begun_before: int = 0  # connections whose SYN the capture lacks
+    begun_before: int = 0  # Connections whose SYN the capture lacks.
     sent_again: int = 0
     out_of_order: int = 0
-    held_for_order: int = 0  # segments that waited for bytes of the other direction
+    held_for_order: int = 0  # Segments that waited for bytes of the other direction.
     holes: int = 0
     hole_bytes: int = 0
     given_up_room: int = 0
     given_up_idle: int = 0
     given_up_gap: int = 0
-    ends_without_data: int = 0  # segments without payload of connections that are not followed
+    ends_without_data: int = 0  # Segments without payload of connections that are not tracked.
 
 
 class TcpReassembler:
-    """Follows all connections of a capture.
+    """Tracks all connections of a capture.
 
     Args:
-        limits: The limits of this reading.
-        listener: Hears of connections and their bytes.
+        limits: Limits of the reading.
+        listener: Receives the connections and their data.
 
     Attributes:
-        counts: What was seen and given up.
-        held_bytes: Memory that all waiting segments take.
+        counts: Counters of the reassembly.
+        held_bytes: Memory in bytes that all waiting segments take.
     """
 
     def __init__(self, limits: ReadingLimits, listener: ConnectionListener) -> None:
@@ -100,30 +105,30 @@
         self._limits = limits
         self._listener = listener
         self._max_clock_step_ns = limits.max_clock_step * NS_PER_SECOND
-        # The least recently active first. Each is removed when it ended long ago, when idle for too long, or
-        # to make room.
+        # Least recently active connection first. A connection is removed some time after its end, after the
+        # idle timeout, or when the number of connections reaches its limit.
         self._connections: OrderedDict[ConnectionKey, Connection] = OrderedDict()
         self._last_number = 0
-        self._now = 0  # ns of the capture's clock; never goes back
+        self._now = 0  # Time in ns of the capture's clock; never decreases.
 
     @property
     def connection_count(self) -> int:
-        """Connections that are remembered."""
+        """Number of connections that are remembered, including ended connections."""
         return len(self._connections)
 
     def add(
         self, segment: Segment, at: int, packet: int = 0, recorded_side: str | None = None
     ) -> Connection | None:
-        """Takes in one segment.
+        """Process one segment.
 
         Args:
             segment: The segment.
-            at: ns of the capture's clock.
-            packet: The number of its packet.
-            recorded_side: "customer" or "node" where the capture says which.
+            at: Time of the segment in ns of the capture's clock.
+            packet: Number of the segment's packet.
+            recorded_side: "customer" or "node" if the capture names the side.
 
         Returns:
-            The connection that it belongs to; None if that is not followed.
+            The segment's connection; None if the connection is not tracked.
         """
         source, source_port, target, target_port = segment[:4]
         key = (source, source_port, target, target_port)
@@ -138,7 +143,7 @@
         connection.packet = packet
         connection.recorded_side = recorded_side or connection.recorded_side
         if connection.end_reason is None:
-            self._take_in(connection, connection.side_of(segment), segment, at)
+            self._process_segment(connection, connection.side_of(segment), segment, at)
         elif segment.payload:
             self.counts.sent_again += 1
         if (
@@ -149,7 +154,7 @@
         return connection
 
     def end(self) -> None:
-        """Tells that the capture has ended: what is open has no end in it."""
+        """Report the end of the capture, which ends all open connections."""
         for connection in self._connections.values():
             if connection.end_reason is None:
                 self._end(connection, self._now, EndReason.CAPTURE_ENDED)
@@ -158,7 +163,7 @@
     # Opening and removing connections.
 
     def _find_or_open(self, key: ConnectionKey, segment: Segment, at: int) -> Connection | None:
-        """The connection of a segment, as the most recently active; None if it is not followed."""
+        """Return the segment's connection, marked as most recently active; None if it is not tracked."""
         connection = self._connections.get(key)
         if connection is not None and segment.flags & SYN and self._opens_another(connection, segment):
             self._end(connection, at, EndReason.PORTS_REUSED)
@@ -169,12 +174,12 @@
             return connection
         if segment.payload or segment.missing_bytes or segment.flags & SYN:
             return self._open(key, segment, at)
-        self.counts.ends_without_data += 1  # the end of one that this capture no longer holds
+        self.counts.ends_without_data += 1  # Belongs to the end of a connection that is no longer tracked.
         return None
 
     @staticmethod
     def _opens_another(connection: Connection, segment: Segment) -> bool:
-        """Whether this is the SYN of another connection with the same ports, and not the same sent again."""
+        """Return whether a SYN opens another connection on the same ports and is not a retransmission."""
         if segment.flags & ACK:
             return False
         direction = connection.directions[connection.side_of(segment)]
@@ -201,7 +206,7 @@
         return connection
 
     def _remove_idle(self) -> None:
-        """Removes what ended a while ago and what is idle for too long, from the least recently active on."""
+        """Remove connections that ended some time ago or were idle for too long, oldest activity first."""
         idle_ns = int(self._limits.idle_timeout * NS_PER_SECOND)
         for key, connection in list(self._connections.items()):
             silence = self._now - connection.last_seen
@@ -232,7 +237,7 @@
 
     # One segment of an open connection.
 
-    def _take_in(self, connection: Connection, side: int, segment: Segment, at: int) -> None:
+    def _process_segment(self, connection: Connection, side: int, segment: Segment, at: int) -> None:
         direction = connection.directions[side]
         other = connection.directions[1 - side]
         flags = segment.flags
@@ -252,7 +257,7 @@
             self._end(connection, at, EndReason.RESET)
             return
         if has_bytes:
-            self._take_in_payload(connection, arrived)
+            self._process_payload(connection, arrived)
         elif connection.waiting:
             self._deliver_waiting(connection, at)
         if flags & FIN:
@@ -260,8 +265,8 @@
         if UNKNOWN not in (direction.fin_sequence, other.fin_sequence):
             self._end_if_complete(connection, at)
 
-    def _take_in_payload(self, connection: Connection, segment: WaitingSegment) -> None:
-        """Delivers the payload if it is the next in order; otherwise it waits."""
+    def _process_payload(self, connection: Connection, segment: WaitingSegment) -> None:
+        """Deliver the payload if it is next in order; otherwise let the segment wait."""
         side = segment.side
         if not connection.waiting and segment.sequence == connection.directions[side].next_sequence:
             acknowledged_next = connection.directions[1 - side].next_sequence
@@ -271,7 +276,7 @@
         self._wait(connection, segment)
 
     def _end_if_complete(self, connection: Connection, at: int) -> None:
-        """Ends a connection whose two FINs were seen once all bytes before them are here."""
+        """End a connection whose two FINs were seen once all bytes before the FINs have been delivered."""
         if connection.waiting:
             return
         if all(direction.state is DirectionState.COMPLETE for direction in connection.directions):
@@ -322,11 +327,11 @@
         self._deliver_waiting(connection, segment.at)
 
     def _deliver_waiting(self, connection: Connection, at: int) -> None:
-        """Delivers what fits by now, and by force what has waited for too long or takes too much room."""
+        """Deliver segments whose turn has come, and force those that waited too long or are too large."""
         while connection.waiting:
-            fitting = next((each for each in connection.waiting if connection.can_be_delivered(each)), None)
-            if fitting is not None:
-                self._deliver_from_waiting(connection, fitting)
+            deliverable = next((s for s in connection.waiting if connection.can_be_delivered(s)), None)
+            if deliverable is not None:
+                self._deliver_from_waiting(connection, deliverable)
                 continue
             oldest = connection.waiting[0]
             if self._holds_too_much(connection):
@@ -341,7 +346,7 @@
         return self.held_bytes > self._limits.max_total_gap_bytes
 
     def _force_oldest(self, connection: Connection) -> None:
-        """Skips the gap that the oldest waiting segment waits for, in the order in which things were sent."""
+        """Skip the gap before the oldest waiting segment, keeping the order in which the data was sent."""
         segment = connection.first_to_deliver_by_force()
         if size := connection.missing_acknowledged_bytes(segment):
             self._skip(connection, 1 - segment.side, segment.at, size)
@@ -350,7 +355,7 @@
         self._deliver_from_waiting(connection, segment)
 
     def _deliver_from_waiting(self, connection: Connection, segment: WaitingSegment) -> None:
-        """Delivers what is new of a segment, at the time and as the packet that it came with."""
+        """Deliver the new bytes of a waiting segment, with the segment's own time and packet number."""
         connection.waiting.remove(segment)
         connection.waiting_bytes -= segment.held_bytes
         self.held_bytes -= segment.held_bytes
--- a/gatebank/capture/records.py
+++ b/gatebank/capture/records.py
@@ -9,23 +9,24 @@
 from gatebank.capture.timestamps import unix_seconds
 from gatebank.events import RetrySafety
 
-# The names of a record's values in JSON and in columns, in their order.
+# Names of a record's values in JSON and in columns, in this order.
 KEYS = (
     "asked_at", "answered_at", "client", "server", "side", "command", "workload", "customer", "key", "id",
     "ticket", "time_limit_ms", "body_bytes", "ended", "whole",
 )  # fmt: skip
-SIDES = ("customer", "node")  # of an instance: where its clients connect, and where it connects to endpoints
-# Places of a command's arguments.
+# Sides of an instance: connections of its clients, and connections to endpoints.
+SIDES = ("customer", "node")
+# Positions of a command's arguments.
 COMMAND = 0
 KEY = 1
 ID = 2
-PARAMETERS = 3  # "c=pay,t=all,d=500,k=1f": request class, tenant, timeout in ms, idempotency key
+PARAMETERS = 3  # For example "c=pay,t=all,d=500,k=1f": class, tenant, timeout in ms, idempotency key.
 BODY = 4
-MAX_TIMEOUT_DIGITS = 15  # of a timeout: longer ones are nonsense
+MAX_TIMEOUT_DIGITS = 15  # Longer timeouts are treated as invalid.
 
 
 class ExchangeOutcome(StrEnum):
-    """What became of a command; the values stand in JSON, in columns and in filters."""
+    """Outcome of a command; the values are used in JSON, in columns and in filters."""
 
     SERVED = "satisfied"
     REJECTED = "rejected"
@@ -38,29 +39,30 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A command on a connection and the response to it. Names stand in JSON as KEYS has them.
+    """A command on a connection and the response to the command. KEYS has the names of the values in JSON.
 
     Attributes:
-        asked_at: ns of Unix time when the command's last byte had come; None if it never came.
-        client: Address and port of who opened the connection.
-        server: Address and port of who accepted it.
-        side: One of SIDES; empty while it is not known.
-        arguments: The command's arguments as sent; where it is not complete, those that are.
-        command_is_complete: All of the command is in the capture.
-        connection: The number of its connection in the capture.
-        first_packet: The number of the packet with the command's first byte.
-        answered_at: ns of Unix time when the response's last byte had come; None without a response.
-        ended: What became of the command.
-        whole: The command and what became of it are in the capture without a gap.
-        last_packet: The number of the packet with the last byte that belongs to it.
-        load_report: What an endpoint said of its load.
-        reply_line: The line of a response that is no value.
-        value_bytes: The size of a response's value.
-        request_class: The request class; None where the command names none.
-        tenant: The tenant; None where the command names none.
-        idempotency_key: The idempotency key; None where the command has none.
-        timeout_ms: The client's timeout; None where the command names none.
-        is_reported: The collector has handed it on; it still changes if its response comes later.
+        asked_at: Time of the command's last byte in ns of Unix time; None if that byte was not read.
+        client: Address and port of the side that opened the connection.
+        server: Address and port of the side that accepted the connection.
+        side: One of SIDES; empty while unknown.
+        arguments: The command's arguments as sent; only the complete arguments of an incomplete command.
+        command_is_complete: Whether the whole command is in the capture.
+        connection: Number of the connection in the capture.
+        first_packet: Number of the packet with the command's first byte.
+        answered_at: Time of the response's last byte in ns of Unix time; None without a response.
+        ended: Outcome of the command.
+        whole: Whether the command and its outcome are in the capture without a gap.
+        last_packet: Number of the packet with the exchange's last byte.
+        load_report: The load report in an endpoint's response.
+        reply_line: The line of a response that has no value.
+        value_bytes: Size of the response's value in bytes.
+        request_class: The request class; None if the command has none.
+        tenant: The tenant; None if the command has none.
+        idempotency_key: The idempotency key; None if the command has none.
+        timeout_ms: The client's timeout; None if the command has none.
+        is_reported: Whether the collector has reported the exchange. A later response still changes the
+            exchange.
     """
 
     asked_at: int | None
@@ -85,7 +87,7 @@
     is_reported: bool = False
 
     def parse_parameters(self) -> None:
-        """Sets the attributes that the command's parameters name."""
+        """Set the attributes that the command's parameters contain."""
         if len(self.arguments) <= PARAMETERS:
             return
         for parameter in self.arguments[PARAMETERS].split(b","):
@@ -102,17 +104,17 @@
 
     @property
     def command(self) -> str | None:
-        """The command's name in capital letters."""
+        """The command's name in upper case."""
         return decode_text(self.arguments[COMMAND]).upper() if self.arguments else None
 
     @property
     def key(self) -> str | None:
-        """The key that the command is about."""
+        """The key that the command addresses."""
         return decode_text(self.arguments[KEY]) if len(self.arguments) > KEY else None
 
     @property
     def id(self) -> str | None:
-        """The request's id, the same at both sides of an instance."""
+        """The request's id, which is the same on both sides of an instance."""
         return decode_text(self.arguments[ID]) if len(self.arguments) > ID else None
 
     @property
@@ -122,13 +124,13 @@
 
     @property
     def retry_safety(self) -> RetrySafety:
-        """Whether the request may run again, by the form of its command; in doubt it may not."""
+        """Whether the request may be executed again, by the form of its command; NON_IDEMPOTENT in doubt."""
         if self.command == "Q.ASK" and len(self.arguments) == BODY:
             return RetrySafety.IDEMPOTENT
         return RetrySafety.KEYED if self.idempotency_key else RetrySafety.NON_IDEMPOTENT
 
     def to_row(self) -> dict[str, Any]:
-        """The record for programs, as JSON or columns: exactly KEYS."""
+        """Return the values for JSON or columns, with exactly the names in KEYS."""
         body = self.body
         values = (
             unix_seconds(self.asked_at), unix_seconds(self.answered_at), self.client, self.server, self.side,
@@ -139,7 +141,7 @@
 
 
 def decode_text(data: bytes) -> str:
-    r"""The bytes as text; what is no UTF-8 stands as escapes, so that no byte is lost.
+    r"""Return the bytes as text; bytes that are not valid UTF-8 become escapes, so that no byte is lost.
 
     >>> decode_text(b"key-1"), decode_text(b"\xff")
     ('key-1', '\\xff')
@@ -151,7 +153,7 @@
 
 
 def parse_milliseconds(data: bytes) -> float | None:
-    """A number of ms as commands have it; None for what is none.
+    """Parse a number of ms as commands encode it; return None for other text.
 
     >>> [parse_milliseconds(data) for data in (b"480", b"0.5", b"-1", b"9" * 99)]
     [480, 0.5, None, None]
--- a/gatebank/capture/resp2.py
+++ b/gatebank/capture/resp2.py
@@ -1,6 +1,6 @@
-"""RESP2 on one connection: finds who asks, cuts bytes into commands and responses, and has them paired.
+"""Decoder of RESP2 on one connection: finds the client, and parses and pairs commands and responses. No I/O.
 
-The connection is one between a client and an instance, or between an instance and an endpoint. No I/O.
+The connection is between a client and an instance, or between an instance and an endpoint.
 """
 
 from __future__ import annotations
@@ -14,20 +14,22 @@
 from gatebank.proxy.resp2 import codec as resp
 
 COMMAND_START = re.compile(rb"\*[1-9]\d?\r\n\$\d{1,2}\r\n(?:Q\.(?:ASK|DO)|PING)\r\n", re.IGNORECASE)
-MAX_COMMAND_START = 32  # bytes of COMMAND_START: it may lie across two segments
-MAX_FOREIGN_BYTES = 64 * 1024  # bytes of a connection without one command: it speaks another protocol
+MAX_COMMAND_START = 32  # Largest size of COMMAND_START in bytes, which may span two segments.
+MAX_FOREIGN_BYTES = 64 * 1024  # A connection with more bytes without a command uses another protocol.
 REQUEST_COMMANDS = (b"Q.ASK", b"Q.DO")
-MIN_REQUEST_ARGUMENTS = 3  # the command, a key and an id
+MIN_REQUEST_ARGUMENTS = 3  # The command, a key and an id.
 
 
 class MessageBuffer:
-    """The bytes of one direction that are not used up yet: of a message that is not complete.
+    """The bytes of an incomplete message in one direction.
 
     Attributes:
-        size: Bytes held that count towards the limit of all messages.
-        needed: Bytes of the message, as far as its lengths tell: with fewer it is not worth another look.
-        is_at_message: A message begins at the first byte held.
-        first_packet: The number of the packet that holds the first byte.
+        parts: The held bytes, in the pieces in which they were read.
+        size: Number of held bytes that count towards the limit of all messages.
+        needed: Smallest size of the whole message according to its length fields. Parsing is not repeated
+            before this many bytes are held.
+        is_at_message: Whether a message begins at the first held byte.
+        first_packet: Number of the packet with the first held byte.
     """
 
     __slots__ = ("first_packet", "is_at_message", "needed", "parts", "size")
@@ -40,12 +42,12 @@
         self.first_packet = 0
 
     def append(self, data: bytes) -> None:
-        """Adds bytes that do not complete the message."""
+        """Add bytes that do not complete the message."""
         self.parts.append(data)
         self.size += len(data)
 
     def take_all(self) -> bytes:
-        """All bytes held; the buffer is empty then."""
+        """Return all held bytes, and empty the buffer."""
         data = b"".join(self.parts)
         self.parts = []
         self.size = 0
@@ -57,8 +59,8 @@
     """Decodes one connection; see `ConnectionDecoder`.
 
     Args:
-        collector: Where exchanges are reported.
-        connection: The connection.
+        collector: Receives the exchanges.
+        connection: The connection to decode.
     """
 
     __slots__ = (
@@ -92,7 +94,7 @@
                 self._give_up_message(side, at)
             return
         if buffer.parts:
-            data = self._take(buffer) + data
+            data = self._take_all(buffer) + data
         buffer.needed = 0
         if side == self._client_side:
             self._read_commands(buffer, at, data)
@@ -105,7 +107,7 @@
         if self._client_side == UNKNOWN:
             buffer.take_all()
             return
-        rest = self._take(buffer)
+        rest = self._take_all(buffer)
         if side != self._client_side:
             self._pairing.on_response_gap(at)
             return
@@ -121,19 +123,19 @@
         commands = self._directions[self._client_side]
         responses = self._directions[1 - self._client_side]
         self._pairing.on_end(at, reason.is_in_capture, responses.size > 0)
-        rest = self._take(commands)
+        rest = self._take_all(commands)
         if commands.is_at_message and rest:
             self._report_partial_command(commands, rest)
-        self._take(responses)
+        self._take_all(responses)
 
-    # Bytes that wait.
+    # Held bytes.
 
-    def _take(self, buffer: MessageBuffer) -> bytes:
+    def _take_all(self, buffer: MessageBuffer) -> bytes:
         self._collector.held_bytes -= buffer.size
         return buffer.take_all()
 
     def _hold(self, side: int, at: int, rest: bytes, needed: int) -> None:
-        """Holds the bytes of a message that is not complete; ``needed``: its size as far as it is known."""
+        """Hold the bytes of an incomplete message, whose size is at least ``needed``."""
         if not rest:
             return
         buffer = self._directions[side]
@@ -150,21 +152,23 @@
         self._counts.given_up_message += 1
         self.on_gap(side, at, 0)
 
-    # Who asks.
+    # The client.
 
     def _set_client(self, side: int) -> None:
         self._client_side = side
         self._pairing.server = self._connection.addresses[1 - side]
 
     def _find_client(self, side: int, data: bytes) -> bool:
-        """Where the capture began amid a connection: whoever sends a command is its client."""
+        """Detect the client of a connection that began before the capture: the side that sends a command."""
         buffer = self._directions[side]
         received = b"".join(buffer.parts) + data
         if COMMAND_START.search(received):
             self._set_client(side)
-            self._take(self._directions[1 - side])
+            self._take_all(self._directions[1 - side])
             return True
-        buffer.parts = [received[-MAX_COMMAND_START:]]  # not counted as held: so little for each connection
+        buffer.parts = [
+            received[-MAX_COMMAND_START:]
+        ]  # Not counted as held, since each connection holds so few bytes.
         self._bytes_without_command += len(data)
         self._counts.bytes_passed += len(data)
         if self._bytes_without_command > MAX_FOREIGN_BYTES:
@@ -172,16 +176,16 @@
         return False
 
     def _ignore_connection(self) -> None:
-        """It speaks another protocol."""
+        """Stop decoding the connection, because it uses another protocol."""
         self._counts.foreign += 1
         for buffer in self._directions:
-            self._take(buffer)
+            self._take_all(buffer)
         self._connection.decoder = IGNORED
 
     # Commands.
 
     def _read_commands(self, buffer: MessageBuffer, at: int, data: bytes) -> None:
-        search_from = 0  # where a command may begin
+        search_from = 0  # Offset from which a command may begin.
         while True:
             if not buffer.is_at_message:
                 start = self._find_command(data, search_from, at)
@@ -207,7 +211,7 @@
             return
 
     def _find_command(self, data: bytes, search_from: int, at: int) -> int:
-        """Where the next command begins; UNKNOWN if none does, and then what may begin one is held."""
+        """Return the next command's offset, or UNKNOWN after holding what may be the start of a command."""
         found = COMMAND_START.search(data, search_from)
         end = found.start() if found else len(data)
         self._counts.bytes_passed += max(0, end - search_from)
@@ -225,7 +229,7 @@
         self._bytes_without_command = 0
         pairing = self._pairing
         if pairing.before_command(at):
-            self._take(self._directions[1 - self._client_side])
+            self._take_all(self._directions[1 - self._client_side])
         if len(arguments) < MIN_REQUEST_ARGUMENTS or arguments[0].upper() not in REQUEST_COMMANDS:
             self._counts.other_commands += 1
             pairing.add_other_command()
@@ -233,10 +237,10 @@
         pairing.add_request(self._exchange(at, arguments, buffer), at)
         if pairing.pending_count > self._collector.limits.max_pipelined_commands:
             self._counts.given_up_in_hand += 1
-            self._lose_pending(at)
+            self._report_pending_incomplete(at)
 
     def _exchange(self, asked_at: int | None, arguments: list[bytes], buffer: MessageBuffer) -> Exchange:
-        """The exchange of a command; ``asked_at`` is None where its end is not in the capture."""
+        """Create the exchange of a command; ``asked_at`` is None if the capture lacks the command's end."""
         connection = self._connection
         is_complete = asked_at is not None
         side = (connection.recorded_side or "") if is_complete else ""
@@ -249,7 +253,7 @@
         return exchange
 
     def _report_partial_command(self, buffer: MessageBuffer, rest: bytes) -> None:
-        """A command that is not complete is reported with what is known of it."""
+        """Report an incomplete command with its known arguments."""
         inbox = resp.Resp2Buffer.from_bytes(rest, self._collector.limits.max_message_bytes)
         try:
             arguments = inbox.partial_command_values()
@@ -271,17 +275,17 @@
                 pairing.add_response(reply, at, self._connection.packet)
         except resp.ProtocolError:
             self._counts.unreadable += 1
-            self._lose_pending(at)
+            self._report_pending_incomplete(at)
             return
         self._hold(1 - self._client_side, at, data[inbox.start :], inbox.bytes_needed)
 
-    def _lose_pending(self, at: int) -> None:
+    def _report_pending_incomplete(self, at: int) -> None:
         self._pairing.report_pending_incomplete(at)
-        self._take(self._directions[1 - self._client_side])
+        self._take_all(self._directions[1 - self._client_side])
 
 
 class IgnoringDecoder:
-    """Stands for the decoder of a connection that speaks another protocol."""
+    """Ignores the data of a connection that uses another protocol."""
 
     def on_data(self, side: int, at: int, data: bytes) -> None:
         """See `ConnectionDecoder.on_data`."""
--- a/gatebank/capture/responses.py
+++ b/gatebank/capture/responses.py
@@ -1,4 +1,4 @@
-"""What a response says of its exchange: the outcome, and which side of an instance the server is. No I/O."""
+"""Interpretation of a response: the exchange's outcome, and the side of the instance. No I/O."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from gatebank.capture.records import Exchange, ExchangeOutcome
 from gatebank.proxy.resp2 import codec as resp
 
-BUSY = b"BUSY"  # an instance that rejects adds after how many ms to try again; an endpoint does not
-ENDPOINT_ERROR = b"ERR failed"  # an endpoint's load report stands behind it
-# Places of an endpoint's response: the value, an unused word, the load report.
+BUSY = b"BUSY"  # An instance's rejection appends the delay in ms before a retry; an endpoint's does not.
+ENDPOINT_ERROR = b"ERR failed"  # Followed by the endpoint's load report.
+# An endpoint's response has three values: the value, an unused value and the load report.
 LOAD_REPORT = 2
 ENDPOINT_VALUES = 3
 
@@ -18,10 +18,10 @@
     """A response and the exchange that it belongs to.
 
     Attributes:
-        exchange: The exchange that it answers.
-        reply: The response; its words must outlive the buffer that they were read from.
-        at: ns of Unix time when its last byte came.
-        packet: The number of the packet with its last byte.
+        exchange: The exchange of the command that the response answers.
+        reply: The response; its values must not refer to the buffer that they were read from.
+        at: Time of the response's last byte in ns of Unix time.
+        packet: Number of the packet with the response's last byte.
     """
 
     exchange: Exchange
@@ -31,10 +31,10 @@
 
 
 def record_response(exchange: Exchange, reply: resp.Reply, at: int, packet: int) -> str | None:
-    """Enters a response in its exchange.
+    """Record a response in its exchange.
 
     Returns:
-        The server's side, "customer" or "node", if the response's form shows it.
+        The server's side, "customer" or "node"; None if the response's form does not show the side.
     """
     exchange.answered_at = at
     exchange.whole = True
@@ -50,7 +50,7 @@
 
 
 def _record_error(exchange: Exchange, type_byte: str, line: bytes) -> str | None:
-    """Enters a response without a value; its first byte is ``type_byte``."""
+    """Record a response without a value, whose first byte is ``type_byte``."""
     exchange.reply_line = line
     is_error = type_byte == "-"
     if is_error and line.startswith(BUSY):
--- a/gatebank/capture/segments.py
+++ b/gatebank/capture/segments.py
@@ -1,7 +1,7 @@
-"""Packets to TCP segments: the link layer, IPv4 and IPv6, fragments. No I/O.
+"""Decoding of packets to TCP segments: link layers, IPv4 and IPv6, fragments. No I/O.
 
-Plain Ethernet or raw IP with IPv4 without options and TCP, which is nearly all there is, is read by one
-`struct` call: measured, dpkt needs 5 us a packet for it and this 0.3. Everything else goes through dpkt.
+Nearly all packets are TCP over IPv4 without options, in plain Ethernet or raw IP. Such a packet is decoded
+with one `struct` call, which takes 0.3 us, while dpkt takes 5 us. dpkt decodes all other packets.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 LINK_IPV4 = 228
 LINK_IPV6 = 229
 LINK_COOKED_2 = 276
-RAW_IP_LINKS = (LINK_RAW, LINK_IPV4, LINK_IPV6, 12, 14)  # 12 and 14: raw IP as some systems number it
+RAW_IP_LINKS = (LINK_RAW, LINK_IPV4, LINK_IPV6, 12, 14)  # Some systems use 12 or 14 for raw IP.
 ETHERNET_HEADER_BYTES = 14
 ETHERTYPE_IPV4 = b"\x08\x00"
 
@@ -36,19 +36,19 @@
 PUSH = 8
 ACK = 16
 
-IPV4_TCP = struct.Struct("!BBHHHBBHIIHHIIBBHHH")  # an IPv4 header without options, and TCP's behind it
+IPV4_TCP = struct.Struct("!BBHHHBBHIIHHIIBBHHH")  # An IPv4 header without options, then a TCP header.
 IPV4_HEADER_BYTES = 20
 MIN_TCP_HEADER_BYTES = 20
-VERSION_4_WITHOUT_OPTIONS = 0x45  # first byte of an IPv4 header
-FRAGMENT_MASK = 0x3FFF  # of IPv4's flags and offset: not 0 in a fragment
+VERSION_4_WITHOUT_OPTIONS = 0x45  # First byte of an IPv4 header without options.
+FRAGMENT_MASK = 0x3FFF  # Bits of IPv4's flags and offset field that are not all 0 in a fragment.
 TCP_PROTOCOL = 6
-FRAGMENT_UNIT = 8  # bytes: IP counts a fragment's offset in these, and dpkt 1.9.8 gives it so
+FRAGMENT_UNIT = 8  # Bytes per unit of a fragment's offset in IP; dpkt 1.9.8 returns the offset in units.
 BSD_FAMILY_IPV4 = 2
-BSD_FAMILIES_IPV6 = (10, 24, 28, 30)  # each system has its own number
+BSD_FAMILIES_IPV6 = (10, 24, 28, 30)  # The number differs between systems.
 
 
 class Segment(NamedTuple):
-    """A TCP segment. A named tuple because one is made for each of millions of packets.
+    """A TCP segment. A named tuple is used because a capture holds millions of packets.
 
     Attributes:
         source: The sender's address, packed: an integer for IPv4, 16 bytes for IPv6.
@@ -56,10 +56,10 @@
         target: The receiver's address, packed.
         target_port: The receiver's port.
         sequence: The sequence number of the first byte, or of the SYN.
-        ack: The acknowledgement number; it counts only if `flags` have ACK.
+        ack: The acknowledgement number; valid only if `flags` contains ACK.
         flags: The TCP flags.
-        payload: The payload's bytes that the capture kept.
-        missing: Bytes at the payload's end that the snap length cut off.
+        payload: The captured bytes of the payload.
+        missing_bytes: Number of bytes at the payload's end that the snap length cut off.
     """
 
     source: int | bytes
@@ -75,7 +75,7 @@
 
 @lru_cache(maxsize=4096)
 def address_name(host: int | bytes, port: int) -> str:
-    """A packed address and a port as text.
+    """Format a packed address and a port as text.
 
     >>> address_name(0x7f000001, 80), address_name(bytes(15) + bytes([1]), 80)
     ('127.0.0.1:80', '[::1]:80')
@@ -86,10 +86,10 @@
 
 
 class SegmentDecoder:
-    """Decodes packets one by one; holds only fragments of IP datagrams that are not complete.
+    """Decodes packets one by one; holds only the fragments of incomplete IP datagrams.
 
     Args:
-        limits: The limits of this reading.
+        limits: Limits of the reading.
     """
 
     def __init__(self, limits: ReadingLimits) -> None:
@@ -99,7 +99,7 @@
         self._unreadable = 0
 
     def counts(self) -> dict[str, int]:
-        """Packets that are no segments by themselves, by the names that `capture check` prints."""
+        """Return counters of packets without a complete segment, by the names that `capture check` prints."""
         return {
             "not_ip": self._not_ip,
             "not_tcp": self._not_tcp,
@@ -109,13 +109,13 @@
         }
 
     def decode(self, link: int, data: bytes, at: int, length: int) -> Segment | None:
-        """The segment in a packet; None if it has none, or only a part of one.
+        """Decode the segment in a packet; return None if the packet holds no segment, or only a part.
 
         Args:
             link: The link type.
-            data: The bytes that the capture kept.
-            at: ns of the capture's clock.
-            length: The bytes that the packet had on the wire.
+            data: The captured bytes.
+            at: Time of the packet in ns of the capture's clock.
+            length: Size of the packet on the wire in bytes.
         """
         start = -1
         if link == LINK_ETHERNET and data[12:14] == ETHERTYPE_IPV4:
@@ -129,12 +129,12 @@
         try:
             return self._decode_with_dpkt(link, data, at, length - len(data))
         except (dpkt.Error, struct.error, IndexError, ValueError, AttributeError, TypeError):
-            self._unreadable += 1  # dpkt raises all of these on bytes that are no packet
+            self._unreadable += 1  # dpkt raises any of these exceptions for invalid packets.
             return None
 
     @staticmethod
     def _decode_plain_ipv4(data: bytes, start: int, length: int) -> Segment | None:
-        """The segment in IPv4 from ``start`` on, if it is TCP, and has neither options nor fragments."""
+        """Decode IPv4 at offset ``start``; return None unless it is TCP without IP options or fragments."""
         if data[start] != VERSION_4_WITHOUT_OPTIONS or data[start + 9] != TCP_PROTOCOL:
             return None
         (
@@ -148,11 +148,11 @@
         payload = data[start + header_bytes : start + total_bytes]
         missing = total_bytes - header_bytes - len(payload)
         if missing and length <= len(data):
-            return None  # its header claims more than the packet had
+            return None  # The IP header claims more bytes than the packet had.
         return Segment(source, source_port, target, target_port, sequence, ack, flags, payload, missing)
 
     def _decode_with_dpkt(self, link: int, data: bytes, at: int, cut: int) -> Segment | None:
-        """Any packet that dpkt knows; ``cut``: bytes of it that the snap length cut off."""
+        """Decode a packet with dpkt; the snap length cut ``cut`` bytes off the packet."""
         ip = self._network_layer(link, data)
         if isinstance(ip, dpkt.ip.IP):
             return self._decode_ipv4(ip, at, cut)
@@ -163,7 +163,7 @@
 
     @staticmethod
     def _network_layer(link: int, data: bytes) -> object:
-        """What the link layer carries: dpkt's object, or None for an unknown link type."""
+        """Return dpkt's object for the link layer's payload; None for an unknown link type."""
         if link in RAW_IP_LINKS:
             return (dpkt.ip6.IP6 if data[0] >> 4 == 6 else dpkt.ip.IP)(data)
         if link == LINK_ETHERNET:
@@ -190,9 +190,9 @@
             offset = FRAGMENT_UNIT * ip.offset
             datagram = self._fragments.add(key, offset, payload, bool(ip.mf), at)
             return _decode_tcp(source, target, datagram, 0) if datagram else None
-        wanted = ip.len - 4 * ip.hl if ip.len else len(payload)
-        missing = max(0, wanted - len(payload)) if cut else 0
-        return _decode_tcp(source, target, payload[:wanted], missing)
+        expected = ip.len - 4 * ip.hl if ip.len else len(payload)
+        missing = max(0, expected - len(payload)) if cut else 0
+        return _decode_tcp(source, target, payload[:expected], missing)
 
     def _decode_ipv6(self, ip: dpkt.ip6.IP6, at: int, cut: int) -> Segment | None:
         extensions = ip.all_extension_headers
@@ -200,8 +200,8 @@
             self._not_tcp += 1
             return None
         payload = bytes(ip.data)
-        wanted = ip.plen - sum(each.length for each in extensions) if ip.plen else len(payload)
-        fragment = next((each for each in extensions if isinstance(each, dpkt.ip6.IP6FragmentHeader)), None)
+        expected = ip.plen - sum(header.length for header in extensions) if ip.plen else len(payload)
+        fragment = next((h for h in extensions if isinstance(h, dpkt.ip6.IP6FragmentHeader)), None)
         if fragment and (fragment.frag_off or fragment.m_flag):
             if cut:
                 return None
@@ -209,12 +209,12 @@
             offset = FRAGMENT_UNIT * fragment.frag_off
             datagram = self._fragments.add(key, offset, payload, bool(fragment.m_flag), at)
             return _decode_tcp(ip.src, ip.dst, datagram, 0) if datagram else None
-        missing = max(0, wanted - len(payload)) if cut else 0
-        return _decode_tcp(ip.src, ip.dst, payload[:wanted], missing)
+        missing = max(0, expected - len(payload)) if cut else 0
+        return _decode_tcp(ip.src, ip.dst, payload[:expected], missing)
 
 
 def _bsd_loopback(data: bytes) -> object:
-    """IP behind four bytes that name the family, in the capturing machine's byte order or the network's."""
+    """Decode IP after a four-byte address family, in the capturing machine's or the network's byte order."""
     family = min(int.from_bytes(data[:4], "little"), int.from_bytes(data[:4], "big"))
     if family == BSD_FAMILY_IPV4:
         return dpkt.ip.IP(data[4:])
@@ -225,7 +225,7 @@
     tcp = dpkt.tcp.TCP(data)
     header_bytes = 4 * tcp.off
     if header_bytes < MIN_TCP_HEADER_BYTES or header_bytes > len(data):
-        raise dpkt.UnpackError("no TCP header")
+        raise dpkt.UnpackError("invalid TCP header length")
     payload = data[header_bytes:]
     flags = tcp.flags & 0xFF
     return Segment(source, tcp.sport, target, tcp.dport, tcp.seq, tcp.ack, flags, payload, missing)
--- a/gatebank/capture/table.py
+++ b/gatebank/capture/table.py
@@ -1,4 +1,4 @@
-"""Exchanges as a table for people: a heading, and a line for each. No I/O."""
+"""Formatting of exchanges as a table: a heading, and one line per exchange. No I/O."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     """A column of the table.
 
     Attributes:
-        heading: What stands above it.
-        width: Characters; longer values are cut off, but in the last column.
-        value: What stands in it.
+        heading: The column's heading.
+        width: Width in characters; longer values are truncated, except in the last column.
+        value: Returns the column's value for an exchange.
     """
 
     heading: str
@@ -58,12 +58,12 @@
 
 
 def table_heading() -> str:
-    """The table's first line."""
+    """Return the table's heading line."""
     return " ".join(column.heading.ljust(column.width) for column in COLUMNS).rstrip()
 
 
 def table_row(exchange: Exchange) -> str:
-    """One exchange's line, safe for a terminal."""
+    """Return the line of an exchange, safe to print on a terminal."""
     cells = []
     for column in COLUMNS:
         max_length = 0 if column is COLUMNS[-1] else column.width
--- a/gatebank/capture/terminal.py
+++ b/gatebank/capture/terminal.py
@@ -1,18 +1,18 @@
-"""Values from captures made safe for a terminal."""
+"""Conversion of values from captures to text that is safe to print on a terminal."""
 
 from __future__ import annotations
 
 import unicodedata
 
-UNSAFE_CATEGORIES = "CZM"  # control and format characters, separators, marks
+UNSAFE_CATEGORIES = "CZM"  # Unicode categories: control and format characters, separators, marks.
 
 
 def printable(value: object, max_length: int = 0) -> str:
-    r"""The value as text that moves no cursor, breaks no line and does not turn the writing direction.
+    r"""Return the value as text that cannot move the cursor, break the line or change the writing direction.
 
     Args:
-        value: Anything; None stands as "-", an empty text as two quotation marks.
-        max_length: Characters of the result; 0 for no limit.
+        value: Any value; None becomes "-", and an empty text becomes two quotation marks.
+        max_length: Largest length of the result in characters; 0 for no limit.
 
     >>> printable("a\x1b[31mb\nc\u202ed"), printable(None), printable("x" * 9, 4), printable("")
     ('a\\x1b[31mb\\nc\\u202ed', '-', 'xxx…', '""')
--- a/gatebank/capture/timestamps.py
+++ b/gatebank/capture/timestamps.py
@@ -1,4 +1,4 @@
-"""Times of captures, in ns of Unix time: from what a user gives, and as text."""
+"""Parsing and formatting of times in ns of Unix time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def unix_seconds(at: int | None) -> str | None:
-    """Seconds with all nine digits of their fraction, as text: a float would lose some.
+    """Format a time as seconds with nine fractional digits; a float would lose some of the digits.
 
     >>> unix_seconds(1_700_000_000_000_000_001), unix_seconds(None), unix_seconds(5), unix_seconds(-1)
     ('1700000000.000000001', None, '0.000000005', '-0.000000001')
@@ -24,10 +24,10 @@
 
 
 def parse_time(value: str) -> int:
-    """Reads seconds with a fraction, or a date and time (UTC if it names no zone).
+    """Parse seconds with an optional fraction, or a date and time (UTC unless it includes a time zone).
 
     Raises:
-        TimestampError: The value is neither.
+        TimestampError: The value is in neither format.
 
     >>> parse_time("1700000000.5"), parse_time("2023-11-14T22:13:20.000000001")
     (1700000000500000000, 1700000000000000001)
@@ -51,12 +51,12 @@
 
 
 def _fraction(digits: str) -> int:
-    """The ns of a fraction's digits; what is finer than 1 ns is cut off."""
+    """Return the ns of a fraction's digits; digits beyond the ninth are ignored."""
     return int(digits.ljust(FRACTION_DIGITS, "0")[:FRACTION_DIGITS])
 
 
 def utc_time(at: int) -> str:
-    """Date and time in UTC, to the millisecond; as `unix_seconds` if the calendar does not reach so far.
+    """Format a date and time in UTC, to the millisecond; use `unix_seconds` if the date is out of range.
 
     >>> utc_time(1_700_000_000_123_456_789)
     '2023-11-14 22:13:20.123'
--- a/gatebank/capture/transactions.py
+++ b/gatebank/capture/transactions.py
@@ -1,8 +1,8 @@
-"""Exchanges of all connections, collected as it becomes known what became of them. No I/O.
+"""Collection of the exchanges of all connections, in the order in which their outcomes become known. No I/O.
 
-`ExchangeCollector` hears of connections from the TCP reassembly and gives each a decoder of its protocol,
-which makes exchanges of what it reads. RESP2 is the first protocol; another one is a class with the methods
-of `ConnectionDecoder`.
+`ExchangeCollector` receives the connections from the TCP reassembly and creates a protocol decoder for each
+connection. The decoder creates the exchanges. RESP2 is the first supported protocol; a decoder of another
+protocol is a class with the methods of `ConnectionDecoder`.
 """
 
 from __future__ import annotations
@@ -17,45 +17,47 @@
 
 NS_PER_SECOND = 1e9
 NS_PER_MILLISECOND = 1e6
-DEFAULT_TIMEOUT_NS = 60_000_000_000  # of a command that names none
-MAX_TIMEOUT_NS = 10 * DEFAULT_TIMEOUT_NS  # longer ones are not believed
-MAX_KNOWN_SERVERS = 65536  # addresses of which it is remembered whether they are endpoints or instances
-WAITING_PER_CONNECTION = 8  # exchanges without a response that are held, for each connection allowed
+DEFAULT_TIMEOUT_NS = 60_000_000_000  # Timeout assumed for a command without a timeout.
+MAX_TIMEOUT_NS = 10 * DEFAULT_TIMEOUT_NS  # Longer timeouts are considered wrong and are reduced to this.
+MAX_KNOWN_SERVERS = 65536  # Number of servers remembered as endpoints or instances.
+# Exchanges without a response that are held, per connection of the limit on connections.
+WAITING_PER_CONNECTION = 8
 
 DecoderFactory = Callable[["ExchangeCollector", Connection], ConnectionDecoder]
 
 
 @dataclass(slots=True)
 class TransactionCounts:
-    """Counters of one reading, by the names that `capture check` prints."""
+    """Counters of the collector, by the names that `capture check` prints."""
 
     exchanges: int = 0
     not_whole: int = 0
-    other_commands: int = 0  # commands that are no requests
-    unasked: int = 0  # responses to nothing
-    unreadable: int = 0  # bytes that break the protocol
-    foreign: int = 0  # connections of another protocol
+    other_commands: int = 0  # Commands that are not requests.
+    unasked: int = 0  # Responses without a command.
+    unreadable: int = 0  # Violations of the protocol.
+    foreign: int = 0  # Connections of another protocol.
     answers_not_paired: int = 0
     given_up_message: int = 0
     given_up_in_hand: int = 0
     given_up_patience: int = 0
-    bytes_passed: int = 0  # bytes in which no command was found
+    bytes_passed: int = 0  # Bytes in which no command was found.
 
 
 class ExchangeCollector:
-    """Gives each connection a decoder, and collects what these report.
+    """Creates a decoder for each connection, and collects the exchanges that the decoders report.
 
     Args:
-        limits: The limits of this reading.
-        make_decoder: Makes the decoder of a connection.
-        endpoints: Server addresses that the user knows to be endpoints.
-        instances: Server addresses that the user knows to be instances.
+        limits: Limits of the reading.
+        make_decoder: Creates the decoder of a connection.
+        endpoints: Server addresses that the user declared to be endpoints.
+        instances: Server addresses that the user declared to be instances.
 
     Attributes:
-        limits: The limits of this reading.
-        counts: What was seen and given up.
-        held_bytes: Memory that messages take which are not complete; the decoders keep it.
-        reported: Exchanges whose outcome is known, in that order; whoever reads them empties it.
+        limits: Limits of the reading.
+        counts: Counters of the collector.
+        held_bytes: Memory in bytes that incomplete messages take; the decoders update this value.
+        reported: Reported exchanges in the order in which their outcomes became known. The consumer removes
+            them.
     """
 
     def __init__(
@@ -71,11 +73,11 @@
         self.reported: deque[Exchange] = deque()
         self._make_decoder = make_decoder
         self._side_of_server = dict.fromkeys(endpoints, "node") | dict.fromkeys(instances, "customer")
-        self._waiting: OrderedDict[Exchange, None] = OrderedDict()  # without a response, the oldest first
+        self._waiting: OrderedDict[Exchange, None] = OrderedDict()  # Without a response; oldest first.
 
     @property
     def waiting_count(self) -> int:
-        """Exchanges that wait for their response."""
+        """Number of exchanges that wait for their response."""
         return len(self._waiting)
 
     def on_open(self, connection: Connection, at: int) -> None:
@@ -98,7 +100,7 @@
             connection.decoder.on_end(at, reason)
 
     def report(self, exchange: Exchange) -> None:
-        """Hands an exchange on as it stands; once only."""
+        """Report an exchange in its present state; has no effect on an exchange that was reported before."""
         if exchange.is_reported:
             return
         exchange.is_reported = True
@@ -110,14 +112,14 @@
         self.reported.append(exchange)
 
     def await_response(self, exchange: Exchange, now: int) -> None:
-        """Holds an exchange until its response comes.
+        """Hold an exchange until its response arrives.
 
-        What has waited for too long is reported as it stands, so that whoever sorts by the time of asking
-        knows how long to wait.
+        Exchanges that have waited for too long are reported in their present state. This bounds the time that
+        a consumer must wait to sort exchanges by the time of their command.
 
         Args:
-            exchange: The exchange, just asked.
-            now: ns of the capture's clock.
+            exchange: The exchange, whose command has just been read.
+            now: Time in ns of the capture's clock.
         """
         self._waiting[exchange] = None
         max_waiting = self.limits.max_connections * WAITING_PER_CONNECTION
@@ -129,12 +131,12 @@
             self.report(oldest)
 
     def record_server_side(self, server: str, side: str) -> None:
-        """Remembers that a server's responses showed which side of an instance it is."""
+        """Remember the side of a server that the form of its responses showed."""
         if server not in self._side_of_server and len(self._side_of_server) < MAX_KNOWN_SERVERS:
             self._side_of_server[server] = side
 
     def end(self) -> None:
-        """Tells that the capture has ended: what waits is reported as it stands."""
+        """Report the end of the capture: all waiting exchanges are reported in their present state."""
         while self._waiting:
             self.report(next(iter(self._waiting)))
 
@@ -145,7 +147,7 @@
 
 
 def timeout_ns(exchange: Exchange) -> int:
-    """The client's timeout in ns; a default where the command names none."""
+    """Return the client's timeout in ns, or a default if the command has no timeout."""
     if exchange.timeout_ms is None:
         return DEFAULT_TIMEOUT_NS
     return min(int(exchange.timeout_ms * NS_PER_MILLISECOND), MAX_TIMEOUT_NS)
--- a/gatebank/capture/writing.py
+++ b/gatebank/capture/writing.py
@@ -1,7 +1,8 @@
-"""pcapng blocks, and conversations as packets that any ordinary tool reads. Bytes out; no I/O.
+"""Encoding of pcapng blocks, and of connections as packets that common tools can read. No I/O.
 
-Sections and interfaces are built once a file, by dpkt; packet blocks many times a second, by struct: dpkt
-needs 20 us for one with a comment. Formats: draft-ietf-opsawg-pcapng, RFC 791, 8200, 9293.
+Section and interface blocks are written once per file and are encoded with dpkt. Packet blocks are written
+many times a second and are encoded with struct, because dpkt takes 20 us for a block with a comment. Formats:
+draft-ietf-opsawg-pcapng, RFC 791, 8200, 9293.
 """
 
 from __future__ import annotations
@@ -16,28 +17,28 @@
 from gatebank.capture.pcapng import ENHANCED_PACKET, OptionCode
 from gatebank.capture.segments import ACK, FIN, LINK_RAW, PUSH, RST, SYN
 
-SNAP_LENGTH = 262_144  # bytes of a packet, as usual tools write it
-MAX_PAYLOAD = 32_768  # bytes of a value in one packet: below what an IP datagram may hold
-WINDOW = 65_535  # bytes, of TCP; the largest without scaling
-MAX_COMMENT = 1024  # bytes: an id may be as long as a client likes
+SNAP_LENGTH = 262_144  # Largest packet size in bytes, as common tools set it.
+MAX_PAYLOAD = 32_768  # Bytes of data per packet, less than an IP datagram may hold.
+WINDOW = 65_535  # TCP window in bytes; the largest without scaling.
+MAX_COMMENT = 1024  # Bytes of a packet comment; clients may send ids of any length.
 COMMENT_OPTION = 1
-NANOSECONDS = b"\x09"  # the resolution of an interface's times, as a power of 10
+NANOSECONDS = b"\x09"  # Resolution of an interface's times, as a negative power of 10.
 UINT32_MASK = 0xFFFFFFFF
 UINT16_MASK = 0xFFFF
 
-OPTION_HEADER = struct.Struct("<HH")  # code and length
+OPTION_HEADER = struct.Struct("<HH")  # Code and length.
 BLOCK_LENGTH = struct.Struct("<I")
 PACKET_BLOCK_HEADER = struct.Struct("<IIIIIII")
-PACKET_BLOCK_OVERHEAD = 32  # bytes of a packet block without data and options
+PACKET_BLOCK_OVERHEAD = 32  # Size in bytes of a packet block without data and options.
 PADDING = tuple(bytes(size) for size in range(4))
-PADDING_AND_END = tuple(bytes(size + 4) for size in range(4))  # padding, and the end of options
+PADDING_AND_END = tuple(bytes(size + 4) for size in range(4))  # Padding, and the end-of-options mark.
 
-# IP headers without options or extensions, and TCP's behind them.
+# IP headers without options or extension headers, followed by a TCP header.
 IPV4_TCP = struct.Struct("!BBHHHBBH4s4sHHIIBBHHH")
 IPV6_TCP = struct.Struct("!IHBB16s16sHHIIBBHHH")
 IPV4_HEADER_BYTES = 20
 TCP_HEADER_BYTES = 20
-TCP_OFFSET = 0x50  # five words of four bytes
+TCP_OFFSET = 0x50  # Header length: five words of four bytes.
 IPV4_VERSION_AND_LENGTH = 0x45
 IPV6_VERSION = 0x60000000
 DO_NOT_FRAGMENT = 0x4000
@@ -47,7 +48,7 @@
 
 
 def section_block(comment: str = "") -> bytes:
-    """A file's first block; it names the program, by which reading knows what the interfaces mean."""
+    """Return a file's first block, with the program name by which readers know the interface names."""
     header = dpkt.pcapng.SectionHeaderBlockLE()
     program = f"gatebank {__version__}".encode()
     header.opts = [dpkt.pcapng.PcapngOptionLE(code=int(OptionCode.SECTION_PROGRAM), data=program)]
@@ -58,7 +59,7 @@
 
 
 def interface_block(name: str = "", link: int = LINK_RAW, snap_length: int = SNAP_LENGTH) -> bytes:
-    """The description of an interface whose times are ns."""
+    """Return the description block of an interface with timestamps in ns."""
     description = dpkt.pcapng.InterfaceDescriptionBlockLE(linktype=link, snaplen=snap_length)
     name_code = int(OptionCode.INTERFACE_NAME)
     resolution_code = int(OptionCode.INTERFACE_RESOLUTION)
@@ -69,14 +70,14 @@
 
 
 def packet_block(interface: int, at: int, data: bytes, length: int | None = None, comment: str = "") -> bytes:
-    """An enhanced packet block.
+    """Return an enhanced packet block.
 
     Args:
-        interface: The number of the packet's interface in its section.
-        at: ns of Unix time.
-        data: The bytes kept of the packet.
-        length: The bytes that it had on the wire; as many as are kept if None.
-        comment: Stands on the packet, cut off at MAX_COMMENT bytes.
+        interface: Number of the packet's interface in its section.
+        at: Time of the packet in ns of Unix time.
+        data: The captured bytes of the packet.
+        length: Size of the packet on the wire in bytes; the size of ``data`` if None.
+        comment: The packet's comment, truncated to MAX_COMMENT bytes.
     """
     size = len(data)
     options = b""
@@ -91,21 +92,21 @@
 
 
 class Conversation:
-    """A TCP connection as packets of raw IP: handshake, data with right numbers, and its end.
+    """Encodes a TCP connection as raw IP packets: handshake, data with correct sequence numbers, and end.
 
-    Checksums are kept as remainders by 65535 of what stays the same, to which each packet adds its own: a
-    32-bit number counts as its two halves, as 65536 leaves a remainder of 1.
+    The checksums of the constant header fields are computed once, modulo 65535; each packet adds its own
+    fields. A 32-bit number may be added whole instead of as two 16-bit halves, since 65536 is 1 modulo 65535.
 
     Args:
-        ends: Who opened the connection (side 0), and who accepted it (side 1).
-        first_sequences: The first sequence number of each side, given by the caller so that the same bytes
-            make the same file.
+        ends: Host and port of the side that opened the connection (side 0) and of the other side (side 1).
+        initial_sequences: The initial sequence number of each side. The caller chooses these numbers so that
+            the same data always results in the same file.
 
     Attributes:
         sequences: The next sequence number of each side.
 
     Raises:
-        IpVersionMismatchError: The two addresses are of different IP versions.
+        IpVersionMismatchError: The two hosts have addresses of different IP versions.
     """
 
     __slots__ = ("_hosts", "_ip_checksum", "_ip_id", "_ports", "_tcp_checksum", "_version", "sequences")
@@ -128,7 +129,7 @@
         self._tcp_checksum = hosts_sum + TCP_PROTOCOL + sum(self._ports) + WINDOW
 
     def segment(self, side: int, flags: int, payload: bytes = b"") -> bytes:
-        """One packet of this side; moves the side's sequence number on by what it holds."""
+        """Return a packet of ``side``, and advance the side's sequence number by the packet's content."""
         other = 1 - side
         sequence = self.sequences[side]
         ack = self.sequences[other] if flags & ACK else 0
@@ -158,11 +159,11 @@
         )  # fmt: skip
 
     def open(self) -> list[bytes]:
-        """The packets of the handshake."""
+        """Return the packets of the handshake."""
         return [self.segment(0, SYN), self.segment(1, SYN | ACK), self.segment(0, ACK)]
 
     def send(self, side: int, data: bytes) -> list[bytes]:
-        """The packets of what one side sent; they acknowledge all that the other had sent before."""
+        """Return the packets of data sent by ``side``; they acknowledge all earlier data of the peer."""
         if len(data) <= MAX_PAYLOAD:
             return [self.segment(side, PUSH | ACK, data)]
         parts = [data[at : at + MAX_PAYLOAD] for at in range(0, len(data), MAX_PAYLOAD)]
@@ -171,7 +172,7 @@
         return packets
 
     def close(self, side: int, abrupt: bool) -> list[bytes]:
-        """The packets by which one side ends it: orderly, with the other's end behind, or by a reset."""
+        """Return the packets of a close by ``side``: FINs of both sides, or a reset if ``abrupt``."""
         if abrupt:
             return [self.segment(side, RST | ACK)]
         other = 1 - side
