--- a/gatebank/capture/errors.py
+++ b/gatebank/capture/errors.py
@@ -33,7 +33,9 @@
     """
 
     def __init__(self, value: str) -> None:
-        super().__init__(f"{value!r} is no time: give seconds of Unix time, or 2026-11-24T14:00:00")
+        super().__init__(
+            f"{value!r} is not a time: enter seconds of Unix time, or for example 2026-11-24T14:00:00"
+        )
         self.value = value
 
 
--- a/gatebank/capture/packets.py
+++ b/gatebank/capture/packets.py
@@ -20,7 +20,7 @@
 # A buffer is copied to a smaller buffer once at least this many bytes, and at least half of it, have been
 # parsed.
 MIN_TRIM = 1024
-TOO_SHORT_MESSAGE = "no capture file: it ends after its first bytes"
+TOO_SHORT_MESSAGE = "not a capture file: it ends after its first bytes"
 
 
 class PacketReader:
@@ -138,7 +138,7 @@
             return PcapFormat(self._limits, magic)
         if magic == SECTION_MAGIC:
             return PcapngFormat(self._limits, self._count_unknown_block)
-        raise CaptureFormatError("no capture file: it begins with " + magic.hex())
+        raise CaptureFormatError("not a capture file: it begins with " + magic.hex())
 
     def _count_unknown_block(self, block_type: int) -> None:
         if block_type in self.unknown_blocks or len(self.unknown_blocks) < MAX_UNKNOWN_TYPES:
--- a/gatebank/capture/pcap.py
+++ b/gatebank/capture/pcap.py
@@ -61,7 +61,7 @@
         seconds, fraction, size, length = self._packet_header.unpack_from(data, at)
         if size > self._limits.max_block_bytes:
             limit = self._limits.max_block_bytes
-            raise CaptureFormatError(f"a packet claims {size} bytes; at most {limit} are allowed")
+            raise CaptureFormatError(f"a packet has a length of {size} bytes; at most {limit} are allowed")
         begin = at + PACKET_HEADER_BYTES
         end = begin + size
         if len(data) < end:
--- a/gatebank/capture/pcapng.py
+++ b/gatebank/capture/pcapng.py
@@ -118,11 +118,11 @@
         if data[at : at + 4] == SECTION_MAGIC:
             byte_order = BYTE_ORDERS.get(bytes(data[at + 8 : at + 12]))
             if not byte_order:
-                raise CaptureFormatError("a section header without its byte order mark")
+                raise CaptureFormatError("a section header has no byte order mark")
             self._set_byte_order(byte_order)
         block_type, size = self._block_header.unpack_from(data, at)
         if size < MIN_BLOCK_BYTES or size % 4:
-            raise CaptureFormatError(f"a block of type {block_type:#x} claims a length of {size}")
+            raise CaptureFormatError(f"a block of type {block_type:#x} has an invalid length of {size}")
         end = at + size
         if len(data) < end:
             return self._incomplete_block(block_type, size, data, at)
@@ -154,7 +154,7 @@
             return None
         if block_type in KNOWN_BLOCK_TYPES:
             limit = self._limits.max_block_bytes
-            raise CaptureFormatError(f"a block claims {size} bytes; at most {limit} are allowed")
+            raise CaptureFormatError(f"a block has a length of {size} bytes; at most {limit} are allowed")
         self._on_unknown_block(block_type)
         self._bytes_to_skip = size - (len(data) - at)
         return ParsedBlock(len(data), None)
@@ -234,5 +234,5 @@
 
 def _packet_data(body: memoryview, at: int, size: int) -> bytes:
     if at + size > len(body):
-        raise CaptureFormatError(f"a packet claims {size} bytes in a block of {len(body)}")
+        raise CaptureFormatError(f"a packet has a length of {size} bytes in a block of {len(body)}")
     return bytes(body[at : at + size])
--- a/gatebank/capture/timestamps.py
+++ b/gatebank/capture/timestamps.py
@@ -35,7 +35,7 @@
     1700000000000000000
     >>> parse_time("tuesday")  # doctest: +ELLIPSIS
     Traceback (most recent call last):
-    gatebank.capture.errors.TimestampError: 'tuesday' is no time: give seconds of Unix time, or 2026-11-24...
+    gatebank.capture.errors.TimestampError: 'tuesday' is not a time: enter seconds of Unix time, or for ex...
     """
     whole, _, rest = value.partition(".")
     if whole.isascii() and whole.isdigit() and (rest.isdigit() or rest == ""):
