--- a/gatebank/capture/connections.py
+++ b/gatebank/capture/connections.py
@@ -163,19 +163,8 @@
     """
 
     __slots__ = (
-        "_first_sender",
-        "addresses",
-        "begins_in_capture",
-        "client_side",
-        "decoder",
-        "directions",
-        "end_reason",
-        "last_seen",
-        "number",
-        "packet",
-        "recorded_side",
-        "waiting",
-        "waiting_bytes",
+        "_first_sender", "addresses", "begins_in_capture", "client_side", "decoder", "directions",
+        "end_reason", "last_seen", "number", "packet", "recorded_side", "waiting", "waiting_bytes",
     )  # fmt: skip
 
     def __init__(self, number: int, segment: Segment, at: int) -> None:
@@ -257,15 +246,15 @@
         """
         chosen = self.waiting[0]
         for _ in range(len(self.waiting)):
-            earlier = self._waits_before(1 - chosen.side, chosen.ack)
+            earlier = self._first_waiting_before(1 - chosen.side, chosen.ack)
             if earlier is None:
-                earlier = self._waits_before(chosen.side, chosen.sequence)
+                earlier = self._first_waiting_before(chosen.side, chosen.sequence)
             if earlier is None:
                 break
             chosen = earlier
         return chosen
 
-    def _waits_before(self, side: int, end: int) -> WaitingSegment | None:
+    def _first_waiting_before(self, side: int, end: int) -> WaitingSegment | None:
         """Return the first waiting segment of ``side`` with undelivered bytes before the number ``end``."""
         if end == UNKNOWN:
             return None
--- a/gatebank/capture/pairing.py
+++ b/gatebank/capture/pairing.py
@@ -96,7 +96,7 @@
             self._is_pipelined = True
             return False
         if self.state.is_on_probation:
-            self._settle()
+            self._end_probation()
         if self.state.is_in_sync or (self._is_pipelined and at <= self._stale_until):
             return False
         self.state = PairingState.ON_PROBATION
@@ -112,7 +112,7 @@
     def add_request(self, exchange: Exchange, at: int) -> None:
         """Add a request; report it at once while out of sync, as its response cannot be identified."""
         if not self.state.is_in_sync:
-            self._expect_stale(at, exchange)
+            self._extend_stale_period(at, exchange)
             self._collector.report(exchange)
             return
         self._pending.append(exchange)
@@ -184,7 +184,7 @@
         self._leave_sync()
         for exchange in self._pending:
             if exchange is not None:
-                self._expect_stale(at, exchange)
+                self._extend_stale_period(at, exchange)
                 self._collector.report(exchange)
         if len(self._pending) > 1:
             self._is_pipelined = True
@@ -196,14 +196,14 @@
         else:
             self.state = PairingState.OUT_OF_SYNC
 
-    def _expect_stale(self, at: int, exchange: Exchange) -> None:
+    def _extend_stale_period(self, at: int, exchange: Exchange) -> None:
         """Extend the time in which a late response to this exchange may arrive, until after its deadline."""
         asked_at = exchange.asked_at or at
         self._stale_until = max(self._stale_until, asked_at + timeout_ns(exchange) + RESPONSE_SLACK_NS)
 
     # Probation.
 
-    def _settle(self) -> None:
+    def _end_probation(self) -> None:
         """End the probation when no command is pending and no surplus response has been seen.
 
         If bytes are missing in one direction only, a surplus response may be among the missing bytes, so the
@@ -234,30 +234,30 @@
         self._held = []
         for paired in held:
             self._collector.report(paired.exchange)
-            self._expect_stale(0, paired.exchange)
+            self._extend_stale_period(0, paired.exchange)
         if is_pipelined:
             self._is_pipelined = True
 
     # End of the connection.
 
-    def on_end(self, at: int, is_seen_on_wire: bool, has_partial_response: bool) -> None:
+    def on_end(self, at: int, is_end_captured: bool, has_partial_response: bool) -> None:
         """Report all remaining exchanges at the connection's end.
 
         Args:
             at: Time of the end in ns of the capture's clock.
-            is_seen_on_wire: Whether the capture shows the connection's end, so that pending commands have no
+            is_end_captured: Whether the capture shows the connection's end, so that pending commands have no
                 response.
             has_partial_response: Whether the capture holds a part of the next response.
         """
         if self.state.is_on_probation:
             last = max((paired.at for paired in self._held), default=at)
             # A surplus response would have arrived by now.
-            is_quiet = is_seen_on_wire or at - last >= RESPONSE_SLACK_NS
+            is_quiet = is_end_captured or at - last >= RESPONSE_SLACK_NS
             if is_quiet and not self._pending:
-                self._settle()
+                self._end_probation()
             else:
                 self._reject_held()
-        is_whole = is_seen_on_wire and self.state.is_in_sync and not has_partial_response
+        is_whole = is_end_captured and self.state.is_in_sync and not has_partial_response
         for exchange in self._pending:
             if exchange is not None and not exchange.is_reported:
                 exchange.whole = is_whole
--- a/gatebank/capture/resp2.py
+++ b/gatebank/capture/resp2.py
@@ -166,9 +166,8 @@
             self._set_client(side)
             self._take_all(self._directions[1 - side])
             return True
-        buffer.parts = [
-            received[-MAX_COMMAND_START:]
-        ]  # Not counted as held, since each connection holds so few bytes.
+        # These bytes are not counted as held, since each connection holds so few of them.
+        buffer.parts = [received[-MAX_COMMAND_START:]]
         self._bytes_without_command += len(data)
         self._counts.bytes_passed += len(data)
         if self._bytes_without_command > MAX_FOREIGN_BYTES:
--- a/gatebank/capture/transactions.py
+++ b/gatebank/capture/transactions.py
@@ -76,7 +76,7 @@
         self._waiting: OrderedDict[Exchange, None] = OrderedDict()  # Without a response; oldest first.
 
     @property
-    def waiting_count(self) -> int:
+    def waiting_exchange_count(self) -> int:
         """Number of exchanges that wait for their response."""
         return len(self._waiting)
 
