--- a/gatebank/policy/rollout.py
+++ b/gatebank/policy/rollout.py
@@ -64,7 +64,7 @@
 
     Requests of these classes wait for something behind the endpoints, so another endpoint would not help.
     """
-    latencies = state.fleet.latencies()
+    latencies = state.fleet.mean_latencies()
     limit = HELD_UP_FACTOR * min(filter(None, latencies), default=0.0)
     pairs = enumerate(zip(state.settings.request_classes, latencies, strict=False))
     return {
@@ -123,11 +123,11 @@
     if verdict is None:
         return None
     voting = state.voting
-    voting.lean(verdict, state.now)
-    standing = voting.standing(state.test)
+    voting.prefer(verdict, state.now)
+    standing = voting.current_vote(state.test)
     due = voting.renew_at
     if verdict is not standing:
-        due = voting.leaning_since + _vote_delay(state, max(1, needed.get(verdict, 1)), many=many)
+        due = voting.preferred_since + _vote_delay(state, max(1, needed.get(verdict, 1)), many=many)
     if verdict is not Verdict.ROLL_BACK:
         due = max(due, voting.voted_at + MIN_VOTE_INTERVAL_S)
     # Where no votes to promote are required, the release service advances the stages by time.
--- a/gatebank/state_transfer/index_names.py
+++ b/gatebank/state_transfer/index_names.py
@@ -11,8 +11,8 @@
 # Stored names of the likelihood ratios that do not belong to one request class.
 STORED_RATIO_NAMES = {
     Statistic.ERRORS: "broke",
-    Statistic.LATE: "late",
-    Statistic.LATE_EVERYWHERE: "everywhere",
+    Statistic.LATE_VERSUS_BASELINE: "late",
+    Statistic.LATE_VERSUS_BEFORE_CANARY: "everywhere",
     Statistic.CONNECTIONS_LOST: "cut",
 }
 # Stored names of the other ratios are this prefix and the name of the request class.
--- a/gatebank/statistics/endpoint_groups.py
+++ b/gatebank/statistics/endpoint_groups.py
@@ -34,7 +34,7 @@
 
     def includes(self, endpoint: EndpointState) -> bool:
         """Return whether an endpoint of the build belongs to them; it does if its start is unknown."""
-        return (endpoint.listed.started or 0.0) <= self.started_until
+        return (endpoint.listed.started_at or 0.0) <= self.started_until
 
 
 class MedianKey(NamedTuple):
@@ -109,7 +109,7 @@
         key = build, minimum, same_age_s
         found = self._oldest.get(key)
         if found is None:
-            starts = sorted(endpoint.listed.started or 0.0 for endpoint in self.by_build.get(build, ()))
+            starts = sorted(endpoint.listed.started_at or 0.0 for endpoint in self.by_build.get(build, ()))
             until = starts[min(minimum, len(starts)) - 1] + same_age_s if starts else 0.0
             found = self._oldest[key] = OldestEndpoints(until, bisect_right(starts, until))
         return found
@@ -204,14 +204,14 @@
     __slots__ = ("_cold", "_warm")
 
     def __init__(self, endpoints: Sequence[EndpointState]) -> None:
-        started = [endpoint for endpoint in endpoints if endpoint.listed.started]
-        others = [endpoint for endpoint in endpoints if not endpoint.listed.started]
-        self._cold = sorted(started, key=lambda endpoint: endpoint.listed.started or 0.0, reverse=True)
+        started = [endpoint for endpoint in endpoints if endpoint.listed.started_at]
+        others = [endpoint for endpoint in endpoints if not endpoint.listed.started_at]
+        self._cold = sorted(started, key=lambda endpoint: endpoint.listed.started_at or 0.0, reverse=True)
         self._warm = others[:1] * len(others)
 
     def warm_count(self, now: float, warm_up: float) -> int:
         """Return the number of warm endpoints."""
-        while self._cold and now - (self._cold[-1].listed.started or 0.0) >= warm_up:
+        while self._cold and now - (self._cold[-1].listed.started_at or 0.0) >= warm_up:
             self._warm.append(self._cold.pop())
         return len(self._warm)
 
