--- a/gatebank/capture/reassembly.py
+++ b/gatebank/capture/reassembly.py
@@ -327,7 +327,7 @@
         self._deliver_waiting(connection, segment.at)
 
     def _deliver_waiting(self, connection: Connection, at: int) -> None:
-        """Deliver segments whose turn has come, and force those that waited too long or are too large."""
+        """Deliver segments whose turn has come; force the oldest after a long wait or above a size limit."""
         while connection.waiting:
             deliverable = next((s for s in connection.waiting if connection.can_be_delivered(s)), None)
             if deliverable is not None:
