--- a/gatebank/operator_config/sections.py
+++ b/gatebank/operator_config/sections.py
@@ -1,6 +1,6 @@
-r"""What a section of the operators' file is, and how a call of one is checked. No I/O.
+r"""Base class of the sections of the operators' file, and the checks of a section call. No I/O.
 
-A package declares its section beside its code:
+A package declares its section beside the code that the section configures:
 
 >>> class Lamp(Section, kw_only=True, frozen=True):
 ...     section: ClassVar[str] = "lamp"
@@ -31,15 +31,16 @@
 
 from gatebank.errors import GatebankError
 
-MAX_SHOWN = 60  # characters of a value in a message, which is one line
+# Maximum length of a value in an error message, which has only one line.
+MAX_VALUE_CHARACTERS = 60
 
 
 class SectionError(GatebankError):
-    """Something wrong in the operators' file.
+    """An error in the operators' file.
 
     Attributes:
-        line: in the file, from 1; 0 where it is of no one line.
-        reason: what is wrong, with section and field.
+        line: Line in the file, counted from 1; 0 if the error has no single line.
+        reason: Description of the error, with section and field.
     """
 
     def __init__(self, line: int, reason: str) -> None:
@@ -52,13 +53,13 @@
 
 
 class SectionCall(msgspec.Struct):
-    """One call of a section in the script, as `child.py` prints it.
+    """One section call in the script, as printed by `child.py`.
 
     Attributes:
-        section: its name.
-        fields: values by the names in the file; plain numbers, strings, lists and maps.
-        line: of the call; 0 if it is not known.
-        field_lines: of fields, as far as they are known.
+        section: Name of the section.
+        fields: Field values by field name; a value consists of numbers, strings, lists and dicts.
+        line: Line of the call; 0 if the line is unknown.
+        field_lines: Lines of the fields by field name; fields whose line is unknown are missing.
     """
 
     section: str
@@ -67,20 +68,21 @@
     field_lines: dict[str, int] = field(default_factory=dict, name="lines")
 
     def line_of(self, name: str) -> int:
-        """Returns the line of a field, or of the call if that is not known."""
+        """Return the line of a field, or the line of the call if the field's line is unknown."""
         return self.field_lines.get(name, self.line)
 
 
 class Section(msgspec.Struct, kw_only=True, frozen=True):
-    """A schema of a section.
+    """Base class of sections: each subclass is the schema of one section.
 
-    A field's type says what is allowed (`msgspec.Meta`), its encoded name is the name in the file, and
-    `check` says which fields do not go together. Subclasses are declared with `kw_only=True, frozen=True`.
+    The type of a field defines the allowed values (`msgspec.Meta`), the field's encoded name is its name in
+    the file, and `check` finds fields that contradict each other. Subclasses are declared with
+    `kw_only=True, frozen=True`.
 
     Attributes:
-        section: its name in the file.
-        once: whether it may be called only once.
-        registered: all sections that have been imported, by name.
+        section: Name of the section in the file.
+        once: Whether a file may call the section only once.
+        registered: All section types that have been imported, by name.
     """
 
     section: ClassVar[str] = ""
@@ -92,17 +94,17 @@
         Section.registered[cls.section] = cls
 
     def check(self) -> Iterator[tuple[str, str]]:
-        """Yields names of fields that do not go together, each with the reason."""
+        """Yield the names of fields that contradict other fields, together with the reason."""
         return iter(())
 
     @classmethod
     def fields(cls) -> dict[str, msgspec.structs.FieldInfo]:
-        """Returns the fields by their names in the file."""
+        """Return the fields of the schema by their names in the file."""
         return {info.encode_name: info for info in msgspec.structs.fields(cls)}
 
     @classmethod
     def find_errors(cls, call: SectionCall) -> list[SectionError]:
-        """Returns all that is wrong with a call: with each field, or else with all of them together."""
+        """Return all errors of a call: errors of single fields, or if there are none, those of `check`."""
         errors = [
             error for name, value in call.fields.items() if (error := cls.field_error(call, name, value))
         ]
@@ -112,79 +114,81 @@
         if errors:
             return errors
         for name, reason in msgspec.convert(call.fields, cls).check():
-            value = f" = {shown(call.fields[name])}" if name in call.fields else ""
+            value = f" = {format_value(call.fields[name])}" if name in call.fields else ""
             errors.append(SectionError(call.line_of(name), f"{cls.section}: {name}{value}: {reason}"))
         return errors
 
     @classmethod
     def field_error(cls, call: SectionCall, name: str, value: object) -> SectionError | None:
-        """Returns what is wrong with one field by itself, None if nothing is."""
+        """Return the error of a single field, or None if the field is valid."""
         fields = cls.fields()
         line = call.line_of(name)
         if name not in fields:
-            close = difflib.get_close_matches(name, fields, 1)
-            guess = f"; did you mean {close[0]!r}?" if close else ";"
+            similar = difflib.get_close_matches(name, fields, 1)
+            guess = f"; did you mean {similar[0]!r}?" if similar else ";"
             names = ", ".join(fields)
             return SectionError(line, f"{cls.section}: {name}: no such field{guess} known are {names}")
         try:
             msgspec.convert(value, fields[name].type)
         except msgspec.ValidationError as error:
-            reason = f"{plain_text(error)}; allowed is {allowed(fields[name].type)}"
-            return SectionError(line, f"{cls.section}: {name} = {shown(value)}: {reason}")
+            reason = f"{readable_error(error)}; allowed is {describe_allowed(fields[name].type)}"
+            return SectionError(line, f"{cls.section}: {name} = {format_value(value)}: {reason}")
         return None
 
     @classmethod
     def build(cls, call: SectionCall) -> Self:
-        """Returns the section of a call.
+        """Return the section that a call describes.
 
         Raises:
-            SectionError: the first of `find_errors`.
+            SectionError: The call has an error; the first error of `find_errors` is raised.
         """
         if errors := cls.find_errors(call):
             raise errors[0]
         return msgspec.convert(call.fields, cls)
 
 
-def shown(value: object) -> str:
-    r"""Returns a value as the script would have it, on one line, cut to ``MAX_SHOWN`` characters.
+def format_value(value: object) -> str:
+    r"""Format a value as in a script, on one line, cut to ``MAX_VALUE_CHARACTERS`` characters.
 
-    >>> shown("a\nb"), shown([True, None]), len(shown("x" * 1000))
+    >>> format_value("a\nb"), format_value([True, None]), len(format_value("x" * 1000))
     ('"a\\nb"', '[True, None]', 60)
     """
     match value:
         case str():
             text = msgspec.json.encode(value).decode()
         case list():
-            text = "[" + ", ".join(map(shown, value[:MAX_SHOWN])) + "]"
+            text = "[" + ", ".join(map(format_value, value[:MAX_VALUE_CHARACTERS])) + "]"
         case _:
             text = repr(value)
-    return text if len(text) <= MAX_SHOWN else text[: MAX_SHOWN - 1] + "…"
+    return text if len(text) <= MAX_VALUE_CHARACTERS else text[: MAX_VALUE_CHARACTERS - 1] + "…"
 
 
-def plain_text(error: msgspec.ValidationError) -> str:
-    """Returns the text of an error without the mark of the value's root.
+def readable_error(error: msgspec.ValidationError) -> str:
+    """Return the text of a validation error without the `$` that msgspec uses for the root of the value.
 
-    >>> plain_text(msgspec.ValidationError("Expected `int`, got `str` - at `$[0]`"))
+    >>> readable_error(msgspec.ValidationError("Expected `int`, got `str` - at `$[0]`"))
     'Expected `int`, got `str` - at [0]'
     """
     return str(error).replace("`$", "").replace("]`", "]")
 
 
-def allowed(hint: object) -> str:
-    """Returns what a field of a type may hold, for people.
+def describe_allowed(hint: object) -> str:
+    """Describe the values that a field of a type accepts, for use in error messages.
 
     >>> from typing import Annotated, Literal
-    >>> allowed(Annotated[int, msgspec.Meta(ge=1, le=9)]), allowed(list[Literal["a", "b"]]), allowed(bool)
-    ('a whole number from 1 to 9', 'a list of "a" or "b"', 'True or False')
+    >>> describe_allowed(Annotated[int, msgspec.Meta(ge=1, le=9)])
+    'a whole number from 1 to 9'
+    >>> describe_allowed(list[Literal["a", "b"]]), describe_allowed(bool)
+    ('a list of "a" or "b"', 'True or False')
     """
     return describe_type(inspect.type_info(hint))
 
 
 def describe_type(kind: inspect.Type) -> str:
-    """Returns what values of a type are called."""
+    """Describe the values of a type in plain words."""
     match kind:
         case inspect.LiteralType():
-            text = " or ".join(map(shown, kind.values))
+            text = " or ".join(map(format_value, kind.values))
         case inspect.ListType():
             text = f"a list of {describe_type(kind.item_type)}"
         case inspect.UnionType():
@@ -205,6 +209,6 @@
 
 
 def describe_range(kind: inspect.IntType | inspect.FloatType) -> str:
-    """Returns the limits of a number, with a space in front; empty if it has none."""
+    """Describe the limits of a number, with a leading space; empty if the number has no limits."""
     limits = (("from", kind.ge), ("above", kind.gt), ("to", kind.le), ("below", kind.lt))
-    return "".join(f" {word} {limit:g}" for word, limit in limits if limit is not None)
+    return "".join(f" {preposition} {limit:g}" for preposition, limit in limits if limit is not None)
