--- a/benchmarks/fuzz.py
+++ b/benchmarks/fuzz.py
@@ -62,11 +62,11 @@
 
     def __init__(self, seed: int) -> None:
         # Imported only after atheris has instrumented gatebank.
-        from tests.support.capture_scenarios import conversation
+        from tests.support.capture_scenarios import sample_capture
 
         self.seed = seed
         self.generator = random.Random(seed)
-        self.capture = conversation()
+        self.capture = sample_capture()
         self.data = self.capture.data()
         self.packets = list(self.capture.packets)
         self.progress = Progress()
@@ -87,23 +87,23 @@
 
     def read_corrupted_bytes(self) -> None:
         """Read a file with changed bytes, which must not raise an exception."""
-        from tests.support.capture_builder import read
+        from tests.support.capture_builder import read_capture
 
         piece = self.generator.choice([0, 1, 13, 1000])
-        exchanges, _ = read(corrupt(self.generator, self.data), piece=piece)
+        exchanges, _ = read_capture(corrupt(self.generator, self.data), piece=piece)
         self.progress.exchanges += len(exchanges)
 
     def read_reordered_packets(self) -> None:
         """Read unchanged packets, some lost or swapped; no reply may be paired with another request."""
-        from tests.support.capture_builder import mismatched, read
+        from tests.support.capture_builder import mismatched_exchanges, read_capture
 
         packets = [packet for packet in self.packets if self.generator.random() > LOST_PACKETS]
         for _ in range(self.generator.randrange(4)):
             at = self.generator.randrange(len(packets) - 3)
             packets.insert(at + self.generator.randrange(3), packets.pop(at))
         self.capture.packets = packets
-        exchanges, _ = read(self.capture.data(), piece=self.generator.choice([0, 500]))
-        wrong = mismatched(exchanges, self.capture.sizes)
+        exchanges, _ = read_capture(self.capture.data(), piece=self.generator.choice([0, 500]))
+        wrong = mismatched_exchanges(exchanges, self.capture.value_sizes)
         assert not wrong, (self.seed, self.progress.rounds, wrong)
         self.progress.exchanges += len(exchanges)
 
@@ -116,7 +116,7 @@
         from tests.support import capture_builder
 
     def read_one(data: bytes) -> None:
-        capture_builder.read(data)
+        capture_builder.read_capture(data)
 
     atheris.Setup(sys.argv[:1] + sys.argv[2:], read_one)
     atheris.Fuzz()
--- a/gatebank/cli/capture/show.py
+++ b/gatebank/cli/capture/show.py
@@ -75,7 +75,7 @@
 
 def json_row(exchange: Exchange) -> bytes:
     """Return an exchange as a JSON object."""
-    return orjson.dumps(exchange.row())
+    return orjson.dumps(exchange.to_row())
 
 
 def table_row(exchange: Exchange) -> bytes:
@@ -113,7 +113,7 @@
     """Yield the rows of the exchanges in batches of PARQUET_BATCH_ROWS."""
     batch: list[dict[str, Any]] = []
     for exchange in exchanges:
-        batch.append(exchange.row())
+        batch.append(exchange.to_row())
         if len(batch) >= PARQUET_BATCH_ROWS:
             yield batch
             batch = []
