--- a/gatebank/cli/capture/ledger.py
+++ b/gatebank/cli/capture/ledger.py
@@ -25,8 +25,8 @@
         CommandLineError: The folder has no ledger, or the ledger cannot be read.
     """
     ledger = read_ledger(folder)
-    entries = ledger.book.entries.values()
-    unsure = ledger.book.unsure_entries()
+    entries = ledger.contents.entries.values()
+    unsure = ledger.contents.unsure_entries()
     results: Counter[str] = Counter()
     for entry in entries:
         results["unsure" if entry.kind is not EntryKind.ANSWERED else entry.ending] += 1
--- a/gatebank/cli/capture/replay.py
+++ b/gatebank/cli/capture/replay.py
@@ -100,7 +100,7 @@
         raise CommandLineError(
             f"{survey.not_idempotent} exclusive or ticketed requests are chosen; they need --ledger FOLDER"
         )
-    unsure_before = 0 if ledger is None else len(ledger.book.unsure_entries())
+    unsure_before = 0 if ledger is None else len(ledger.contents.unsure_entries())
     plan = ReplayPlan(
         source=source,
         selection=selection,
--- a/gatebank/cli/capture/replay_output.py
+++ b/gatebank/cli/capture/replay_output.py
@@ -52,7 +52,7 @@
 
 def print_counts(report: Report) -> None:
     """Print the counts of requests by result, the reasons why requests were not sent, and other counts."""
-    for name in replay_report.ENDS:
+    for name in replay_report.FIRST_COUNTS:
         if report[name] or name in ALWAYS_SHOWN:
             print_count(report[name], name)
     for name, reasons in REASON_COUNTS.items():
--- a/gatebank/cli/capture/replay_session.py
+++ b/gatebank/cli/capture/replay_session.py
@@ -21,7 +21,7 @@
 from gatebank.replay.guard import Guard
 from gatebank.replay.ledger import Ledger
 from gatebank.replay.player import Player, PlayerOptions
-from gatebank.replay.schedule import AskingOrder
+from gatebank.replay.schedule import ExchangeSorter
 
 MAX_QUEUED = 4096  # Maximum number of exchanges that the reader queues ahead of time.
 # Maximum memory of the exchanges that wait to be sorted by the time of their requests.
@@ -88,7 +88,7 @@
         self.selection = selection
         self.side = side
         self.queue: Queue[Exchange | None] = Queue(MAX_QUEUED)
-        self.order = AskingOrder(int(REORDER_HORIZON * 1e9), MAX_REORDERED_BYTES)
+        self.order = ExchangeSorter(int(REORDER_HORIZON * 1e9), MAX_REORDERED_BYTES)
         self.stopping = False
         self.error = ""
         self.other_side_count = 0
--- a/gatebank/replay/entries.py
+++ b/gatebank/replay/entries.py
@@ -69,7 +69,7 @@
     ending: str = ""
 
 
-class LedgerBook:
+class LedgerContents:
     """Contents of a ledger by request name.
 
     Attributes:
@@ -122,7 +122,7 @@
     return fields + crc32(fields).to_bytes(4, "little") + data[ENTRY_END:]
 
 
-def decode_ledger(data: bytes) -> LedgerBook:
+def decode_ledger(data: bytes) -> LedgerContents:
     """Decode all bytes of a ledger's file.
 
     Returns:
@@ -131,8 +131,8 @@
     Raises:
         LedgerDamagedError: The file is damaged or is not a ledger.
 
-    >>> book = LedgerBook(b"n" * 16)
-    >>> whole = encode_header(book.name) + book.add(LedgerEntry(EntryKind.ENTERED, b"x" * 24, 5))
+    >>> contents = LedgerContents(b"n" * 16)
+    >>> whole = encode_header(contents.name) + contents.add(LedgerEntry(EntryKind.ENTERED, b"x" * 24, 5))
     >>> decode_ledger(whole).state_of(b"x" * 24).value
     'unsure'
     >>> decode_ledger(whole[:-1]).torn_bytes, decode_ledger(whole + bytes(9)).torn_bytes
@@ -144,18 +144,18 @@
     if len(data) < HEADER.size or not data[HEADER_CHECKSUM].strip(b"\0"):
         if any(data[HEADER.size :]):
             raise LedgerDamagedError("the header is missing")
-        return _torn(LedgerBook(b""), 0, len(data))
-    book = LedgerBook(_decode_header(data))
+        return _torn(LedgerContents(b""), 0, len(data))
+    contents = LedgerContents(_decode_header(data))
     at = HEADER.size
     while at < len(data):
         part = data[at : at + ENTRY.size]
         if _is_torn(part):
             if any(data[at + ENTRY.size :]):
-                raise LedgerDamagedError(f"entry {book.count} ends in zeros, but entries follow it")
-            return _torn(book, at, len(data) - at)
-        book.add(_decode_entry(part, book.count))
+                raise LedgerDamagedError(f"entry {contents.count} ends in zeros, but entries follow it")
+            return _torn(contents, at, len(data) - at)
+        contents.add(_decode_entry(part, contents.count))
         at += ENTRY.size
-    return book
+    return contents
 
 
 def _decode_header(data: bytes) -> bytes:
@@ -169,26 +169,26 @@
 
 def _is_torn(part: bytes) -> bool:
     """Whether the end of this last entry was never written."""
-    return len(part) < ENTRY.size or not (part[ENTRY_END] or _checks(part))
+    return len(part) < ENTRY.size or not (part[ENTRY_END] or _has_valid_checksum(part))
 
 
-def _checks(part: bytes) -> bool:
+def _has_valid_checksum(part: bytes) -> bool:
     return crc32(part[: ENTRY_CHECKSUM.start]) == int.from_bytes(part[ENTRY_CHECKSUM], "little")
 
 
 def _decode_entry(part: bytes, number: int) -> LedgerEntry:
     begin, kind, ending, own_number, at, name, _, end = ENTRY.unpack(part)
     is_framed = (begin, end, own_number) == (BEGIN_MARK, END_MARK, number)
-    is_whole = _checks(part) and is_framed and part[ENTRY_END + 1 :] == ENTRY_PADDING
+    is_whole = _has_valid_checksum(part) and is_framed and part[ENTRY_END + 1 :] == ENTRY_PADDING
     if not is_whole or kind not in set(EntryKind) or ending >= len(ENDINGS):
         raise LedgerDamagedError(f"entry {number} is invalid")
     return LedgerEntry(EntryKind(kind), name, at, ENDINGS[ending])
 
 
-def _torn(book: LedgerBook, size: int, torn_bytes: int) -> LedgerBook:
-    book.size = size
-    book.torn_bytes = torn_bytes
-    return book
+def _torn(contents: LedgerContents, size: int, torn_bytes: int) -> LedgerContents:
+    contents.size = size
+    contents.torn_bytes = torn_bytes
+    return contents
 
 
 def entered(names: Iterable[bytes], at: int) -> list[LedgerEntry]:
--- a/gatebank/replay/ledger.py
+++ b/gatebank/replay/ledger.py
@@ -19,7 +19,7 @@
 from gatebank.replay.entries import (
     MAX_LEDGER_BYTES,
     EntryKind,
-    LedgerBook,
+    LedgerContents,
     LedgerEntry,
     NameState,
     decode_ledger,
@@ -63,7 +63,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.path = folder / FILE_NAME
-        self.book = LedgerBook(b"")
+        self.contents = LedgerContents(b"")
         self.broken: LedgerError | None = None
         self.syncs = 0
         self._folder = folder
@@ -76,7 +76,7 @@
     @property
     def name(self) -> bytes:
         """The ledger's own name."""
-        return self.book.name
+        return self.contents.name
 
     def open(self) -> None:
         """Take the lock, read the file, remove a truncated tail, and check that the file can be written.
@@ -103,12 +103,12 @@
 
     def state_of(self, name: bytes) -> NameState | None:
         """Return the ledger state of a name; None if its request may be sent."""
-        return self.book.state_of(name)
+        return self.contents.state_of(name)
 
     def enter(self, names: Iterable[bytes]) -> asyncio.Future[None]:
         """Add the names of a request that is about to be sent.
 
-        The names are in `book` immediately, so that the guard withholds another request with one of them.
+        The names are in `contents` immediately, so that the guard withholds another request with one of them.
 
         Returns:
             A future that is done once the entries are on the disk, or fails with LedgerError.
@@ -163,13 +163,13 @@
         size = os.fstat(self._file).st_size
         if size > MAX_LEDGER_BYTES:
             raise LedgerError(self.path, f"{size} bytes; at most {MAX_LEDGER_BYTES} are read")
-        self.book = decode_ledger(self._read(size))
-        if self.book.torn_bytes:
-            os.ftruncate(self._file, self.book.size)
-        if not self.book.name:
-            self.book = LedgerBook(os.urandom(NAME_BYTES))
-            os.pwrite(self._file, encode_header(self.book.name), 0)
-        os.lseek(self._file, self.book.size, os.SEEK_SET)
+        self.contents = decode_ledger(self._read(size))
+        if self.contents.torn_bytes:
+            os.ftruncate(self._file, self.contents.size)
+        if not self.contents.name:
+            self.contents = LedgerContents(os.urandom(NAME_BYTES))
+            os.pwrite(self._file, encode_header(self.contents.name), 0)
+        os.lseek(self._file, self.contents.size, os.SEEK_SET)
         os.fsync(self._file)  # Also checks that the file can be written.
         self._sync_folder()
 
@@ -201,7 +201,7 @@
     # Writing.
 
     def _add(self, entries: Sequence[LedgerEntry], synced: asyncio.Future[None] | None) -> None:
-        self._pending.append(PendingWrite(b"".join(map(self.book.add, entries)), synced))
+        self._pending.append(PendingWrite(b"".join(map(self.contents.add, entries)), synced))
         if self._writing is None or self._writing.done():
             self._writing = asyncio.ensure_future(self._write_pending())
 
--- a/gatebank/replay/player.py
+++ b/gatebank/replay/player.py
@@ -83,8 +83,10 @@
         self._last_id = 0
         self._next: Exchange | None = None  # Read from the queue, not prepared yet.
         self._is_drained = False  # Whether the end of the queue has been read.
-        self._ahead: deque[ReplayedRequest] = deque()  # Prepared, not due yet; due within LEAD.
-        self._out: set[ReplayedRequest] = set()  # Sent but not finished, or due and waiting for the ledger.
+        self._prepared: deque[ReplayedRequest] = deque()  # Prepared, not due yet; due within LEAD.
+        self._in_flight: set[ReplayedRequest] = (
+            set()
+        )  # Sent but not finished, or due and waiting for the ledger.
         self._request_finished = asyncio.Event()
 
     # Replay loop.
@@ -95,18 +97,18 @@
             if self._next is None and not self._is_drained:
                 self._next = self._read()
             now = self.loop.time()
-            if self._next is not None and self._due_of(self._next, now) <= now + LEAD:
-                self._look_at(self._next)
+            if self._next is not None and self._due_time(self._next, now) <= now + LEAD:
+                self._prepare_or_withhold(self._next)
                 self._next = None
-            elif self._ahead and self._ahead[0].due <= now:
-                self._send_when_entered(self._ahead.popleft())
-            elif self._next is None and self._is_drained and not self._ahead:
+            elif self._prepared and self._prepared[0].due <= now:
+                self._send_when_entered(self._prepared.popleft())
+            elif self._next is None and self._is_drained and not self._prepared:
                 break
             else:
                 await self._sleep(now)
         if self._next is not None:
             self.report.count_not_offered(self._next, "stopped")
-        while self._out:
+        while self._in_flight:
             self._request_finished.clear()
             await self._request_finished.wait()
 
@@ -115,7 +117,7 @@
         if self.stopped:
             return
         self.stopped = reason
-        for request in [*self._out, *self._ahead]:
+        for request in [*self._in_flight, *self._prepared]:
             if not request.is_finished and not request.is_sent:
                 self.finish(request, ReplayOutcome.NEVER_SENT)
         self.loop.call_later(STOP_TIMEOUT, self._give_up_all)
@@ -132,7 +134,7 @@
             self.report.count_read()
         return exchange
 
-    def _due_of(self, exchange: Exchange, now: float) -> float:
+    def _due_time(self, exchange: Exchange, now: float) -> float:
         """Return when an exchange is due; the clock starts at the first exchange, not before it is read."""
         asked_at = exchange.asked_at or 0
         if not self._clock.has_begun:
@@ -143,17 +145,17 @@
         """Sleep until a request is due or to be prepared, or the empty queue is to be checked again."""
         wake_times = []
         if self._next is not None:
-            wake_times.append(self._due_of(self._next, now) - LEAD)
+            wake_times.append(self._due_time(self._next, now) - LEAD)
         elif not self._is_drained:
             wake_times.append(now + QUEUE_POLL)
-        if self._ahead:
-            wake_times.append(self._ahead[0].due)
+        if self._prepared:
+            wake_times.append(self._prepared[0].due)
         delay = min(wake_times) - self.loop.time()
         await asyncio.sleep(delay - TIMER_RESOLUTION if delay > TIMER_RESOLUTION else 0)
 
     # Preparation shortly before a request is due.
 
-    def _look_at(self, exchange: Exchange) -> None:
+    def _prepare_or_withhold(self, exchange: Exchange) -> None:
         """Prepare a request for sending, unless the guard withholds it or a limit is reached."""
         verdict = self._guard.verdict(exchange, self._ledger or NO_LEDGER)
         if verdict.withheld:
@@ -163,16 +165,16 @@
             self.report.count_withheld(exchange, WithheldReason.NO_LEDGER)
             return
         due = self._clock.due(exchange.asked_at or 0)
-        if reason := self._lack_of_room(exchange, due):
+        if reason := self._exceeded_limit(exchange, due):
             self.report.count_not_offered(exchange, reason)
             return
-        self._ahead.append(self._prepare(exchange, due, verdict))
+        self._prepared.append(self._prepare(exchange, due, verdict))
 
-    def _lack_of_room(self, exchange: Exchange, due: float) -> str:
+    def _exceeded_limit(self, exchange: Exchange, due: float) -> str:
         """Return the limit, as named in reports, that prevents sending a request when due; empty if none."""
         if reason := self.transport.refusal(exchange):
             return reason
-        if len(self._out) + len(self._ahead) >= self._options.max_in_flight:
+        if len(self._in_flight) + len(self._prepared) >= self._options.max_in_flight:
             return "in_hand"
         return "" if self._rate.take(due) else "rate"
 
@@ -202,12 +204,12 @@
         elif request.entered.done():
             self._send_entered(request, request.entered)
         else:
-            self._out.add(request)
+            self._in_flight.add(request)
             request.entered.add_done_callback(lambda entered: self._send_entered(request, entered))
 
     def _send_entered(self, request: ReplayedRequest, entered: asyncio.Future[None]) -> None:
         if entered.cancelled() or entered.exception():
-            self._out.discard(request)
+            self._in_flight.discard(request)
             if not request.is_finished:
                 request.is_finished = True
                 self.report.counts[ReplayOutcome.NEVER_SENT.value] += 1
@@ -224,7 +226,7 @@
         if not request.is_retry:
             self.report.count_sent(request.due, now)
         request.is_sent = True
-        self._out.add(request)
+        self._in_flight.add(request)
         patience = request.due + request.timeout + RESPONSE_GRACE - now
         request.timer = self.loop.call_later(max(0.0, patience), self._give_up, request)
         self.transport.send(request)
@@ -245,16 +247,16 @@
             return
         if request.timer:
             request.timer.cancel()
-        if outcome is ReplayOutcome.REJECTED and self._retries(request, retry_after):
+        if outcome is ReplayOutcome.REJECTED and self._schedule_retry(request, retry_after):
             return
         request.is_finished = True
-        self._out.discard(request)
+        self._in_flight.discard(request)
         if request.names:
-            outcome = self._record(request, outcome)
+            outcome = self._record_outcome(request, outcome)
         self.report.count_outcome(request.exchange, outcome, request.due, self.loop.time())
         self._request_finished.set()
 
-    def _retries(self, request: ReplayedRequest, retry_after: float | None) -> bool:
+    def _schedule_retry(self, request: ReplayedRequest, retry_after: float | None) -> bool:
         """Schedule one retry of a rejected idempotent request, unless it would be due after its deadline.
 
         Returns:
@@ -271,7 +273,7 @@
         self.loop.call_at(at, self.send, request)
         return True
 
-    def _record(self, request: ReplayedRequest, outcome: ReplayOutcome) -> ReplayOutcome:
+    def _record_outcome(self, request: ReplayedRequest, outcome: ReplayOutcome) -> ReplayOutcome:
         """Write the outcome of a request with an effect to the ledger; return the outcome to be reported."""
         assert self._ledger is not None  # The request has names, so that there is a ledger.
         match outcome:
@@ -291,6 +293,6 @@
             self.finish(request, ReplayOutcome.NO_RESPONSE)
 
     def _give_up_all(self) -> None:
-        for request in list(self._out):
+        for request in list(self._in_flight):
             self._give_up(request)
         self._request_finished.set()
--- a/gatebank/replay/report.py
+++ b/gatebank/replay/report.py
@@ -15,7 +15,7 @@
 from gatebank.replay.requests import ReplayOutcome
 
 OUTCOME_COUNTS = tuple(outcome.value for outcome in ReplayOutcome)
-ENDS = ("read", "offered", *OUTCOME_COUNTS)  # Names of the counts that are printed first, in order.
+FIRST_COUNTS = ("read", "offered", *OUTCOME_COUNTS)  # Names of the counts that are printed first, in order.
 NOT_OFFERED = "not_offered_"  # Prefix of the counts by reason.
 RESPONSES = (ReplayOutcome.SERVED, ReplayOutcome.REJECTED, ReplayOutcome.FAILED)
 MAX_LISTED = 10_000  # Maximum number of withheld, not offered or unsure requests listed individually.
@@ -69,13 +69,13 @@
         if outcome is ReplayOutcome.UNSURE:
             self.list_request("unsure", "sent whole, and no answer came", exchange)
 
-    def list_request(self, what: str, why: str, exchange: Exchange) -> None:
+    def list_request(self, category: str, why: str, exchange: Exchange) -> None:
         """List a request individually in the report."""
         if len(self._listed) >= MAX_LISTED:
             return
         self._listed.append(
             {
-                "what": what,
+                "what": category,
                 "why": why,
                 "effects": exchange.retry_safety.value,
                 "workload": exchange.request_class,
@@ -100,7 +100,7 @@
             if name.startswith(NOT_OFFERED)
         }
         summary: dict[str, Any] = {
-            name: self.counts[name] for name in (*ENDS, "not_offered", "withheld", "asked_again")
+            name: self.counts[name] for name in (*FIRST_COUNTS, "not_offered", "withheld", "asked_again")
         }
         return summary | {
             "withheld_why": dict(self._withheld),
--- a/gatebank/replay/schedule.py
+++ b/gatebank/replay/schedule.py
@@ -26,7 +26,7 @@
     exchange: Exchange
 
 
-class AskingOrder:
+class ExchangeSorter:
     """Sorts exchanges, which a capture yields in the order of their ends, by their request times.
 
     An exchange is released once the capture's time is ``horizon`` past the exchange's request time, because
@@ -49,7 +49,7 @@
         self._heap: list[QueuedExchange] = []
         self._last_number = 0
         self._newest = 0  # Latest time of the capture in nanoseconds.
-        self._last_left = 0  # Latest request time of a released exchange in nanoseconds.
+        self._last_released = 0  # Latest request time of a released exchange in nanoseconds.
 
     def add(self, exchange: Exchange, now: int) -> Iterator[Exchange]:
         """Add an exchange, and yield the exchanges that are released.
@@ -64,7 +64,7 @@
         self._last_number += 1
         heapq.heappush(self._heap, QueuedExchange(exchange.asked_at, self._last_number, exchange))
         self._held_bytes += _held_bytes(exchange)
-        while self._heap and self._first_leaves():
+        while self._heap and self._is_first_releasable():
             yield self._pop()
 
     def end(self) -> Iterator[Exchange]:
@@ -72,15 +72,15 @@
         while self._heap:
             yield self._pop()
 
-    def _first_leaves(self) -> bool:
+    def _is_first_releasable(self) -> bool:
         is_settled = self._heap[0].asked_at <= self._newest - self._horizon
         return is_settled or self._held_bytes > self._max_bytes
 
     def _pop(self) -> Exchange:
         first = heapq.heappop(self._heap)
         self._held_bytes -= _held_bytes(first.exchange)
-        self.late_count += first.asked_at < self._last_left
-        self._last_left = max(self._last_left, first.asked_at)
+        self.late_count += first.asked_at < self._last_released
+        self._last_released = max(self._last_released, first.asked_at)
         return first.exchange
 
 
