--- a/gatebank/replay/guard.py
+++ b/gatebank/replay/guard.py
@@ -115,7 +115,7 @@
         if self._is_live and not section.live_rerunnable:
             reason = (
                 f"the capture shows live traffic to {target}: nothing is sent there, unless its target says"
-                " live_rerunnable = True, for rerunnable invocations"
+                " live_rerunnable = True, for idempotent requests"
             )
             raise TargetRefusedError(target, reason)
 
--- a/gatebank/replay/ledger.py
+++ b/gatebank/replay/ledger.py
@@ -69,7 +69,7 @@
         self._folder = folder
         self._lock = CLOSED
         self._file = CLOSED
-        self._pending: list[PendingWrite] = []  # emptied by each write
+        self._pending: list[PendingWrite] = []  # Each write empties the list.
         self._writing: asyncio.Task[None] | None = None
         self._thread: ThreadPoolExecutor | None = None
 
--- a/gatebank/replay/report.py
+++ b/gatebank/replay/report.py
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self._withheld: Counter[str] = Counter()
-        self._by_class: Counter[tuple[str, str]] = Counter()  # by request class and outcome
+        self._by_class: Counter[tuple[str, str]] = Counter()  # By request class and outcome.
         self._listed: list[dict[str, Any]] = []
         self._latency = latency_histogram()
         self._lateness = latency_histogram()
--- a/gatebank/replay/section.py
+++ b/gatebank/replay/section.py
@@ -39,6 +39,9 @@
         except ConfigurationError as error:
             yield "address", error.reason
         if self.keeps_tickets and not self.rehearsal:
-            yield "keeps_tickets", "only a rehearsal target gets ticketed invocations: rehearsal is not set"
+            yield (
+                "keeps_tickets",
+                "only a rehearsal target gets requests with idempotency keys: rehearsal is not set",
+            )
         if self.rehearsal and self.live_rerunnable:
-            yield "live_rerunnable", "an address in service is no rehearsal target"
+            yield "live_rerunnable", "a rehearsal target cannot be an address in service"
